--- a/bench/peers_cost.py
+++ b/bench/peers_cost.py
@@ -32,7 +32,7 @@
 def _view(name, replicas):
     targets = {
         f'i-{i:010x}':
-            knowledge.Target(f'i-{i:010x}', 'z', slots=64, engine=True)
+            knowledge.ReplicaView(f'i-{i:010x}', 'z', slots=64, engine=True)
         for i in range(replicas)
     }
     return peerview.PeerView(name, targets.get), targets
@@ -42,13 +42,13 @@
     speaker, targets = _view('edge-zone-a-1', replicas)
     hearer, _ = _view('edge-zone-a-2', replicas)
     for i in range(entries - 2):
-        hearer.heard(f'10.1.{i // 250}.{i % 250}',
-                     membership.Status(f'edge-{i}', 1, 1), 0.0)
+        hearer.record_status(f'10.1.{i // 250}.{i % 250}',
+                             membership.Status(f'edge-{i}', 1, 1), 0.0)
     parts = (prompts.Part('5c1e07a2', 2520), prompts.Part('91bd3f06', 3780))
     for i, target in enumerate(list(targets.values())[:busy]):
-        target.sent(2900)
+        target.record_sent(2900)
         if i < uses:
-            speaker.prompt_sent(target, parts, 0.0)
+            speaker.record_prompt(target, parts, 0.0)
     hosts = [f'10.1.0.{i}' for i in range(peers.TOLD)]
     sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     receiver = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -58,15 +58,16 @@
     for seq in range(ROUNDS):
         began = time.process_time()
         data = messages.encode(
-            speaker.status(1,
-                           seq,
-                           targets.values(),
-                           0.0,
-                           firsts=FIRSTS,
-                           hosts=hosts))
+            speaker.build_status(1,
+                                 seq,
+                                 targets.values(),
+                                 0.0,
+                                 first_attempts=FIRSTS,
+                                 known_hosts=hosts))
         made = time.process_time()
         sender.sendto(data, addr)
-        hearer.heard('10.9.9.9', messages.decode(receiver.recv(65536)), 0.0)
+        hearer.record_status('10.9.9.9', messages.decode(receiver.recv(65536)),
+                             0.0)
         making += made - began
         sending += time.process_time() - made
     sender.close()
--- a/features/steps/operations_steps.py
+++ b/features/steps/operations_steps.py
@@ -104,7 +104,7 @@
 def step_not_forgotten(context):
     again = _retries(context, 4)
     # Each further request adds its own part to what may be sent.
-    assert again <= 4 * budget.SHARE, again
+    assert again <= 4 * budget.USED_RATIO_SHARE, again
 
 
 @when('the settings name another store, whose configuration is newer')
--- a/features/steps/sharing_steps.py
+++ b/features/steps/sharing_steps.py
@@ -33,7 +33,7 @@
     first.store.put('keyed.op', 'config', standin.config(1))
     for site in context.sites:
         site.start()
-    waiting.until(lambda: len(_reading(context)) == readers.LEAST,
+    waiting.until(lambda: len(_reading(context)) == readers.MIN_READERS,
                   'three entries that read')
     for site in context.sites:
         waiting.until(lambda s=site: wire_callers.status(s.readiness) == 200,
@@ -61,8 +61,8 @@
     before = calls.total()
     time.sleep(ROUNDS_S)
     made = calls.total() - before
-    assert made <= readers.LEAST * CALLS_PER_S * ROUNDS_S, made
-    assert len(_reading(context)) == readers.LEAST
+    assert made <= readers.MIN_READERS * CALLS_PER_S * ROUNDS_S, made
+    assert len(_reading(context)) == readers.MIN_READERS
 
 
 @when('the entries that read are {how}')
--- a/gorsefall/daemon.py
+++ b/gorsefall/daemon.py
@@ -24,7 +24,7 @@
     @property
     def draining(self):
         """Whether the process is stopping."""
-        return self.shutdown.begun
+        return self.shutdown.has_begun
 
     @property
     def under_way(self):
--- a/gorsefall/directory.py
+++ b/gorsefall/directory.py
@@ -1,7 +1,7 @@
 """The seam to who can serve: replicas as some wire makes them known."""
 
 from gorsefall import errors
-from gorsefall.policy import comeback
+from gorsefall.policy import retry_delay
 
 
 class Directory:
@@ -37,5 +37,5 @@
     """
     if in_force is None:
         raise errors.NoCatalogueError('nothing to serve was read yet',
-                                      retry_after=comeback.soon_s())
+                                      retry_after=retry_delay.short_delay_s())
     return in_force
--- a/gorsefall/emulator/calls.py
+++ b/gorsefall/emulator/calls.py
@@ -3,11 +3,11 @@
 from gorsefall.emulator import plain
 from gorsefall.emulator import policies
 from gorsefall.policy import budget
-from gorsefall.policy import comeback
+from gorsefall.policy import retry_delay
 from gorsefall.policy import knowledge
 from gorsefall.policy import peerview
 from gorsefall.policy import placement
-from gorsefall.policy import share
+from gorsefall.policy import traffic_share
 
 _SERVICE = 'plain'
 
@@ -16,8 +16,8 @@
     """What one entry knows of the plain replicas.
 
     Attributes:
-        targets: ``replica name -> knowledge.Target``.
-        service: Its ``placement.Service``.
+        targets: ``replica name -> knowledge.ReplicaView``.
+        service: Its ``placement.ServiceState``.
         budget: Its ``budget.Budget``.
         view: The ``peerview.PeerView`` of the other entries.
     """
@@ -25,29 +25,31 @@
     def __init__(self, number, sheet, names):
         self.targets = {
             name:
-                knowledge.Target(name=name,
-                                 zone='z',
-                                 slots=sheet.slots,
-                                 engine=False) for name in names
+                knowledge.ReplicaView(name=name,
+                                      zone='z',
+                                      slots=sheet.slots,
+                                      engine=False) for name in names
         }
-        self.service = placement.Service()
+        self.service = placement.ServiceState()
         self.view = peerview.PeerView(f'entry-{number}', self.targets.get)
-        self.budget = budget.Budget(sheet.retries, share.Share(), self._others)
+        self.budget = budget.Budget(sheet.retries, traffic_share.TrafficShare(),
+                                    self._others)
         self._seq = 0
 
     def _others(self):
         """Returns the others' requests in the retry window, None if alone."""
         members = self.view.members
-        return None if members.alone else members.firsts(_SERVICE)
+        return None if members.alone else members.first_attempts(_SERVICE)
 
     def status(self, now):
         """Returns the ``membership.Status`` that it tells the others."""
         self._seq += 1
-        return self.view.status(0,
-                                self._seq,
-                                self.targets.values(),
-                                now,
-                                firsts={_SERVICE: self.budget.firsts(now)})
+        return self.view.build_status(
+            0,
+            self._seq,
+            self.targets.values(),
+            now,
+            first_attempts={_SERVICE: self.budget.first_attempts(now)})
 
 
 class Calls:
@@ -110,7 +112,7 @@
         status = desk.status(now_ms / 1000)
         for other in self._desks:
             if other is not desk:
-                other.view.heard(status.name, status, now_ms / 1000)
+                other.view.record_status(status.name, status, now_ms / 1000)
         if now_ms < until_ms:
             self._at(now_ms + self._site.exchange_ms, self._speak, desk,
                      until_ms)
@@ -118,27 +120,27 @@
     def _arrive(self, now_ms, run):
         if not run.returned:
             self._tally.asked(run.kind)
-        self._desks[run.entry].budget.first(now_ms / 1000)
+        self._desks[run.entry].budget.record_first_attempt(now_ms / 1000)
         self._send(now_ms, run)
 
     def _send(self, now_ms, run):
         desk = self._desks[run.entry]
         fit = [t for n, t in desk.targets.items() if n not in run.tried]
-        desk.view.show(fit, now_ms / 1000)
-        ask = policies.Ask(fit, knowledge.Want(zone='z'), desk.service,
-                           now_ms / 1000, self._rng)
+        desk.view.update_views(fit, now_ms / 1000)
+        ask = policies.Ask(fit, knowledge.RequestProfile(zone='z'),
+                           desk.service, now_ms / 1000, self._rng)
         target = run.target = self._policy(ask).target
         run.tried.add(target.name)
         run.sent_ms = now_ms
-        target.sent(0)
-        target.began(0)
+        target.record_sent(0)
+        target.record_prefilled(0)
         self.arrivals += 1
         replica = self._replicas[target.name]
         offer = replica.offer(run)
         if offer is plain.Offer.RUNS:
             self._run(now_ms, replica, run)
         elif offer is plain.Offer.REFUSED:
-            target.ended()
+            target.record_end()
             replica.tell(target, now_ms)
             self._refused(now_ms, run)
 
@@ -150,14 +152,14 @@
 
     def _done(self, now_ms, replica, run):
         ok = not run.hopeless and self._rng.random() >= replica.failing
-        run.target.ended()
+        run.target.record_end()
         desk = self._desks[run.entry]
-        desk.view.answered(run.target, ok, now_ms / 1000)
-        desk.service.speed.stay.ended(now_ms - run.sent_ms)
+        desk.view.record_response(run.target, ok, now_ms / 1000)
+        desk.service.speed.residence.record(now_ms - run.sent_ms)
         following, gone = replica.next(now_ms)
         replica.tell(run.target, now_ms)
         for other in gone:
-            other.target.ended()
+            other.target.record_end()
         if following is not None:
             self._run(now_ms, replica, following)
         if run.left(now_ms):
@@ -178,13 +180,14 @@
         run.returned = True
         run.tried.clear()
         run.entry = self._rng.randrange(len(self._desks))
-        self._at(now_ms + comeback.soon_s(self._rng) * 1000, self._arrive, run)
+        self._at(now_ms + retry_delay.short_delay_s(self._rng) * 1000,
+                 self._arrive, run)
 
     def _send_again(self, now_ms, run):
         """Asks another replica, if one is left and the allowance lets it."""
         if len(run.tried) >= min(run.kind.attempts, len(self._replicas)):
             return False
-        if not self._desks[run.entry].budget.take(now_ms / 1000):
+        if not self._desks[run.entry].budget.acquire(now_ms / 1000):
             return False
         self.again += 1
         self._send(now_ms, run)
--- a/gorsefall/emulator/crashing.py
+++ b/gorsefall/emulator/crashing.py
@@ -83,12 +83,12 @@
 
     def speak(self):
         """Tells all others what was seen here."""
-        status = membership.Status(f'e{self.number}',
-                                   1,
-                                   1,
-                                   sightings=self.crashes.told(
-                                       self.site.loop.now),
-                                   suspects=self.crashes.suspects.summary)
+        status = membership.Status(
+            f'e{self.number}',
+            1,
+            1,
+            run_reports=self.crashes.told(self.site.loop.now),
+            suspects_summary=self.crashes.suspects.summary)
         for other in self.site.entries:
             if other is not self:
                 self._send(
@@ -154,7 +154,7 @@
         known.broke(replica, run, self._after)
 
     def _after(self):
-        held = self._entry.crashes.suspects.held(self._digest)
+        held = self._entry.crashes.suspects.must_serialize(self._digest)
         if self._left and not held:
             self.go_on()
         else:
--- a/gorsefall/emulator/engine.py
+++ b/gorsefall/emulator/engine.py
@@ -28,7 +28,7 @@
         heard_ms: When its caller last heard of it.
         last_event_ms: When its last event came.
         sent_ms: When its entry sent it.
-        target: The entry's ``knowledge.Target`` of its engine.
+        target: The entry's ``knowledge.ReplicaView`` of its engine.
         choice: The ``placement.Choice`` that its entry made.
         on_time: Whether it may still be on time.
         returned: Whether it was refused once and came back.
@@ -44,7 +44,7 @@
     heard_ms: float = 0.0
     last_event_ms: float = 0.0
     sent_ms: float = 0.0
-    target: knowledge.Target | None = None
+    target: knowledge.ReplicaView | None = None
     choice: placement.Choice | None = None
     on_time: bool = True
     returned: bool = False
@@ -125,7 +125,7 @@
         """Reports its load, as an answer's head may do."""
         if self._sheet.tells_load:
             unread = len(self._waiting) + max(0, len(self._reading) - 1)
-            target.report(self.running, unread, now_ms / 1000)
+            target.record_load(self.running, unread, now_ms / 1000)
 
     # -- memory ----------------------------------------------------------------
 
@@ -147,7 +147,7 @@
         known = req.session in self._cached
         self._cached[req.session] = req.kind.shared
         self._cached.move_to_end(req.session)
-        if not known and req.choice.source is not None:
+        if not known and req.choice.fetch_source is not None:
             # Taken as if the engine read for as long as the transfer lasts.
             return int(req.kind.shared * self._sheet.fetch_ms *
                        self._sheet.tokens_per_ms)
@@ -227,6 +227,6 @@
         gap_ms = now_ms - req.last_event_ms + RESENT_MS * lost
         if gap_ms > req.kind.gap_ms:
             req.on_time = False
-        req.target.link.came(1, now_ms / 1000, held_up=lost)
-        req.target.pause.saw(gap_ms)
+        req.target.link.record_events(1, now_ms / 1000, held_up=lost)
+        req.target.pause.record(gap_ms)
         req.last_event_ms = req.heard_ms = now_ms
--- a/gorsefall/emulator/entries.py
+++ b/gorsefall/emulator/entries.py
@@ -7,7 +7,7 @@
 from gorsefall.policy import peerview
 from gorsefall.policy import placement
 from gorsefall.policy import prompts
-from gorsefall.policy import unseen
+from gorsefall.policy import unreported
 
 
 class Entry:
@@ -15,22 +15,23 @@
 
     Attributes:
         targets: ``engine name -> target.Target``.
-        service: Its ``placement.Service``.
+        service: Its ``placement.ServiceState``.
         view: The ``peerview.PeerView`` of the other entries' work.
     """
 
     def __init__(self, number, site, names):
         self.targets = {
             name:
-                knowledge.Target(name=name,
-                                 zone='z',
-                                 slots=site.engines.slots,
-                                 engine=True,
-                                 kept=prompts.Kept(site.engines.kv_tokens))
+                knowledge.ReplicaView(name=name,
+                                      zone='z',
+                                      slots=site.engines.slots,
+                                      engine=True,
+                                      prompt_cache=prompts.PromptCache(
+                                          site.engines.kv_tokens))
             for name in names
         }
-        self.service = placement.Service(fetch_ms=site.engines.fetch_ms,
-                                         event_tokens=site.engines.stride)
+        self.service = placement.ServiceState(fetch_ms=site.engines.fetch_ms,
+                                              event_tokens=site.engines.stride)
         self.view = peerview.PeerView(f'entry-{number}', self.targets.get)
         self._seq = 0
         self._site = site
@@ -39,19 +40,19 @@
     def status(self, now_ms):
         """Returns the ``membership.Status`` that it tells the others."""
         self._seq += 1
-        return self.view.status(0, self._seq, self.targets.values(),
-                                now_ms / 1000)
+        return self.view.build_status(0, self._seq, self.targets.values(),
+                                      now_ms / 1000)
 
     def hear(self, status, now_ms):
         """Takes in what another entry tells."""
-        self.view.heard(status.name, status, now_ms / 1000)
+        self.view.record_status(status.name, status, now_ms / 1000)
 
     def decide(self, req, policy, limit_ms, now_ms, rng):
         """Returns a ``placement.Choice`` for ``req``, or ``Refused``."""
         now = now_ms / 1000
-        self.view.show(self.targets.values(), now)
+        self.view.update_views(self.targets.values(), now)
         self._asked += 1
-        self.service.unseen.arrivals = self._others(now)
+        self.service.unreported.arrivals = self._others(now)
         return policy(
             policies.Ask(list(self.targets.values()), _want(req, limit_ms),
                          self.service, now, rng))
@@ -59,37 +60,40 @@
     def _others(self, now):
         """Returns the ``unseen.Arrivals`` of the other entries."""
         others = self._site.entries - 1
-        return unseen.Arrivals(per_s=others * self._asked / max(1.0, now),
-                               age_s=self._site.exchange_ms / 2000)
+        return unreported.Arrivals(per_s=others * self._asked / max(1.0, now),
+                                   age_s=self._site.exchange_ms / 2000)
 
     def sent(self, req, choice, now_ms):
         """Notes that ``req`` went out."""
         req.target, req.choice, req.sent_ms = choice.target, choice, now_ms
         req.heard_ms = now_ms
-        self.view.prompt_sent(req.target, _want(req).parts, now_ms / 1000)
-        req.target.sent(choice.tokens, writes=_want(req).writes)
+        self.view.record_prompt(req.target, _want(req).parts, now_ms / 1000)
+        req.target.record_sent(choice.prefill_tokens,
+                               decode_heavy=_want(req).decode_heavy)
 
     def began(self, req, now_ms):
         """Notes the first event of ``req``."""
-        req.target.began(req.choice.tokens)
-        self.service.speed.began(now_ms - req.sent_ms,
-                                 req.choice.ahead + req.choice.tokens,
-                                 req.choice.slowness)
+        req.target.record_prefilled(req.choice.prefill_tokens)
+        self.service.speed.record_start(
+            now_ms - req.sent_ms,
+            req.choice.prefill_tokens_ahead + req.choice.prefill_tokens,
+            req.choice.slowness)
 
     def ended(self, req, now_ms):
         """Notes that ``req`` is no longer at its engine."""
         if not req.written:
-            req.target.began(req.choice.tokens)
-        req.target.ended(writes=_want(req).writes)
+            req.target.record_prefilled(req.choice.prefill_tokens)
+        req.target.record_end(decode_heavy=_want(req).decode_heavy)
         if req.written >= req.tokens_out:
-            self.service.speed.stay.ended(now_ms - req.sent_ms)
+            self.service.speed.residence.record(now_ms - req.sent_ms)
 
 
 def _want(req, limit_ms=math.inf):
-    """Returns the ``knowledge.Want`` of ``req``."""
-    return knowledge.Want(zone='z',
-                          parts=(prompts.Part(req.session, req.kind.shared),),
-                          tokens=req.prompt,
-                          tokens_out=req.tokens_out,
-                          limit_ms=limit_ms,
-                          gap_ms=req.kind.gap_ms)
+    """Returns the ``knowledge.RequestProfile`` of ``req``."""
+    return knowledge.RequestProfile(zone='z',
+                                    parts=(prompts.Part(req.session,
+                                                        req.kind.shared),),
+                                    tokens=req.prompt,
+                                    tokens_out=req.tokens_out,
+                                    queue_limit_ms=limit_ms,
+                                    gap_ms=req.kind.gap_ms)
--- a/gorsefall/emulator/plain.py
+++ b/gorsefall/emulator/plain.py
@@ -20,7 +20,7 @@
         hopeless: Whether it fails at every replica.
         tried: Names of the replicas that it was sent to.
         runs: How often a replica began it.
-        target: The entry's ``knowledge.Target`` of its replica.
+        target: The entry's ``knowledge.ReplicaView`` of its replica.
         sent_ms: When its entry last sent it.
         returned: Whether it was refused once and came back.
     """
@@ -31,7 +31,7 @@
     hopeless: bool
     tried: set = dataclasses.field(default_factory=set)
     runs: int = 0
-    target: knowledge.Target | None = None
+    target: knowledge.ReplicaView | None = None
     sent_ms: float = 0.0
     returned: bool = False
 
@@ -93,4 +93,4 @@
     def tell(self, target, now_ms):
         """Reports its load, as an answer's head may do."""
         if self._sheet.tells_load:
-            target.report(self.running, len(self._waiting), now_ms / 1000)
+            target.record_load(self.running, len(self._waiting), now_ms / 1000)
--- a/gorsefall/emulator/play.py
+++ b/gorsefall/emulator/play.py
@@ -130,7 +130,8 @@
         if not req.returned:
             self._tally.asked(req.kind)
         entry = self._entries[req.entry]
-        limit_ms = self._ranks.limit_ms(req.kind.priority, req.kind.aim_ms)
+        limit_ms = self._ranks.queue_limit_ms(req.kind.priority,
+                                              req.kind.aim_ms)
         choice = entry.decide(req, self._policy, limit_ms, now_ms, self._rng)
         if isinstance(choice, policies.Refused):
             self._refuse(now_ms, req, choice)
@@ -153,7 +154,7 @@
         self._at(now_ms + refused.return_ms, self._arrive, req)
 
     def _lose(self, now_ms, req):
-        req.target.failed(now_ms / 1000)
+        req.target.record_failure(now_ms / 1000)
         self._ended(now_ms, req)
 
     def _ended(self, now_ms, req):
@@ -172,7 +173,7 @@
             return
         for req in engine.step(now_ms):
             if req.written >= req.tokens_out:
-                req.target.succeeded()
+                req.target.record_success()
             self._ended(now_ms, req)
         for req in engine.begun():
             self._entries[req.entry].began(req, now_ms)
--- a/gorsefall/emulator/policies.py
+++ b/gorsefall/emulator/policies.py
@@ -18,15 +18,15 @@
     """What a policy decides on.
 
     Attributes:
-        targets: The entry's ``knowledge.Target`` objects.
-        want: The ``knowledge.Want``.
-        service: The entry's ``placement.Service``.
+        targets: The entry's ``knowledge.ReplicaView`` objects.
+        want: The ``knowledge.RequestProfile``.
+        service: The entry's ``placement.ServiceState``.
         now: Time, s.
         rng: Source of lots.
     """
     targets: list
-    want: knowledge.Want
-    service: placement.Service
+    want: knowledge.RequestProfile
+    service: placement.ServiceState
     now: float
     rng: object
 
@@ -34,7 +34,7 @@
 def placed(ask):
     """The product's own way."""
     choice = unrefused(ask)
-    wait_s = overload.refuse_for_s(choice, ask.want.limit_ms, ask.rng)
+    wait_s = overload.retry_after_s(choice, ask.want.queue_limit_ms, ask.rng)
     return Refused(wait_s * 1000) if wait_s else choice
 
 
@@ -52,7 +52,7 @@
     """Least known load, nothing else."""
     best = min(_sound(ask),
                key=lambda t:
-               (t.outstanding + t.others *
+               (t.outstanding + t.others_requests *
                 (ask.now - t.reported_at < 1.0), ask.rng.random()))
     return placement.Choice(best, ask.want.tokens)
 
--- a/gorsefall/emulator/site.py
+++ b/gorsefall/emulator/site.py
@@ -213,10 +213,10 @@
         return msgspec.structs.replace(self, engines=engines, **own)
 
     def ranks(self):
-        """Returns the ``overload.Ranks`` in which each kind is in use."""
-        ranks = overload.Ranks()
+        """Returns the ``overload.RankStats`` in which each kind is in use."""
+        ranks = overload.RankStats()
         for kind in self.kinds:
-            ranks.asked(kind.priority, kind.aim_ms)
+            ranks.record_request(kind.priority, kind.aim_ms)
         return ranks
 
 
--- a/gorsefall/entry/app.py
+++ b/gorsefall/entry/app.py
@@ -25,7 +25,7 @@
 from gorsefall.net import poller
 from gorsefall.net import reactor
 from gorsefall.policy import admission
-from gorsefall.policy import comeback
+from gorsefall.policy import retry_delay
 from gorsefall.policy import limits
 from gorsefall.policy import routing
 
@@ -144,7 +144,7 @@
 
     def _admit(self, ask, req, res):
         now = time.monotonic()
-        if not self.shutdown.takes(now):
+        if not self.shutdown.accepts_requests(now):
             raise errors.DrainingError(
                 'entry is shutting down; retry elsewhere')
         if ask.klass.pool not in self.fleet.pools:
@@ -166,7 +166,7 @@
             self._refuse(
                 victim,
                 errors.ShedError('pushed out by a higher tier',
-                                 retry_after=comeback.after_queue_s(
+                                 retry_after=retry_delay.after_queue_s(
                                      adm.served_time_s)))
         metrics.QUEUED.labels(ask.klass.pool).set(len(adm.waiting()))
         if verdict is admission.Verdict.RUN:
@@ -174,9 +174,10 @@
 
     def route(self, ask, priority, tried):
         """Returns the replica for ``ask``'s next attempt, or None."""
-        return self._router.choose(self.fleet.candidates(ask.klass.pool, tried),
-                                   routing.Want(ask.prefix_text, priority),
-                                   time.monotonic(), time.time())
+        return self._router.choose(
+            self.fleet.candidates(ask.klass.pool, tried),
+            routing.RequestProfile(ask.prefix_text, priority), time.monotonic(),
+            time.time())
 
     def _refuse(self, ticket, exc):
         job = self.jobs.get(ticket.rid)
@@ -216,7 +217,7 @@
                 self._refuse(
                     ticket,
                     errors.DeadlineError('its deadline passed while it waited',
-                                         retry_after=comeback.after_queue_s(
+                                         retry_after=retry_delay.after_queue_s(
                                              adm.served_time_s)))
             served = {rid: self.jobs[rid].served_at for rid in adm.running}
             start, raised = adm.promote(now, served)
@@ -249,7 +250,7 @@
             'draining': self.draining,
             'entries': self.fleet.shares.entries,
             'rank': self.fleet.shares.rank,
-            'silent_peers': self._limiter.silent,
+            'silent_peers': self._limiter.silent_peers,
             'catalogue': {
                 'version': state.version,
                 'offset': state.offset,
@@ -302,7 +303,7 @@
         return self.cfg.entry.drain_s
 
     def _check_drained(self, now):
-        if self._ending or not self.shutdown.over(now, bool(self.jobs)):
+        if self._ending or not self.shutdown.is_finished(now, bool(self.jobs)):
             return
         self._ending = True
         self.log.info('stopped', left=len(self.jobs))
--- a/gorsefall/entry/jobs.py
+++ b/gorsefall/entry/jobs.py
@@ -200,9 +200,9 @@
         (symptom: backend_failed with one of five engines up, before load
         reports showed the outage), so each replica may refuse once.
         """
-        return attempts.Terms(repeatable=self.ask.repeatable,
-                              most=MAX_ATTEMPTS,
-                              refusals_free=True)
+        return attempts.RetryTerms(repeatable=self.ask.repeatable,
+                                   max_attempts=MAX_ATTEMPTS,
+                                   refusals_uncounted=True)
 
     def send_next(self):
         """See ``serving.Serving``."""
@@ -210,7 +210,7 @@
                              self.attempts.tried)
         if rep is None:
             raise self._no_replica()
-        self.attempts.sent(rep.name)
+        self.attempts.record_sent(rep.name)
         self.rep = rep
         self._place.enter_context(rep.occupied(self.ticket.priority))
         self.send(rep)
@@ -219,7 +219,7 @@
         pool = self.ask.klass.pool
         if self.attempts.in_doubt:
             return errors.BackendFailedError(
-                f'{len(self.attempts.names)} replicas of {pool} failed; '
+                f'{len(self.attempts.replicas)} replicas of {pool} failed; '
                 'none is left')
         return errors.NoReplicaError(f'no replica of {pool} takes requests')
 
@@ -237,9 +237,9 @@
         self._place.close()
         self.call = None
         if not reached:
-            self.attempts.not_reached()
+            self.attempts.record_unreached()
         elif refused:
-            self.attempts.refused()
+            self.attempts.record_refusal()
 
     def cancel(self):
         """The caller went away: stop the back end and count the waste."""
@@ -296,7 +296,7 @@
                       queued_ms=_ms(self.arrived, self.started_at),
                       ttft_ms=_ms(self.arrived, self.first_at),
                       e2e_ms=round(e2e * 1000, 1),
-                      attempts=self.attempts.names)
+                      attempts=self.attempts.replicas)
         ran = self.started_at is not None
         self.app.job_done(self, served_s=e2e if ran else None)
 
--- a/gorsefall/entry/peers.py
+++ b/gorsefall/entry/peers.py
@@ -92,12 +92,12 @@
 
     def _sum_up(self):
         now = time.monotonic()
-        total = collections.defaultdict(limits.Use)
+        total = collections.defaultdict(limits.Usage)
         fresh = [r for at, r in self._reports.values() if now - at < MAX_AGE_S]
         for report in fresh:
             for key, inflight, rate in report.use:
                 use = total[tuple(key)]
                 use.inflight += inflight
                 use.rate += rate
-        self.limiter.peers = dict(total)
-        self.limiter.silent = self.fleet.shares.entries - 1 - len(fresh)
+        self.limiter.peer_usage = dict(total)
+        self.limiter.silent_peers = self.fleet.shares.entries - 1 - len(fresh)
--- a/gorsefall/entry/servicejobs.py
+++ b/gorsefall/entry/servicejobs.py
@@ -40,10 +40,10 @@
         if self.done:
             return
         if whole and status < SERVER_ERROR and not refused:
-            rep.succeeded()
+            rep.record_success()
             self._answer(status, obj)
             return
-        rep.failed(time.monotonic())
+        rep.record_failure(time.monotonic())
         why = str(exc or status)
         self.log.warning('service_attempt_failed',
                          replica=rep.name,
--- a/gorsefall/entry/textjobs.py
+++ b/gorsefall/entry/textjobs.py
@@ -114,10 +114,10 @@
         if self.done:
             return
         if self._last is not None and self._last.n == self.tokens:
-            rep.succeeded()
+            rep.record_success()
             self._finish(self._last.reason)
             return
-        rep.failed(time.monotonic())
+        rep.record_failure(time.monotonic())
         self.log.warning('engine_attempt_failed',
                          replica=rep.name,
                          status=self._status,
@@ -125,7 +125,7 @@
                          tokens=self.tokens)
         self.again_or(
             errors.BackendFailedError(
-                f'{len(self.attempts.names)} engines failed; '
+                f'{len(self.attempts.replicas)} engines failed; '
                 f'{self.tokens} tokens were delivered'), str(exc))
 
     def _finish(self, reason):
--- a/gorsefall/entry/watchers.py
+++ b/gorsefall/entry/watchers.py
@@ -296,9 +296,9 @@
                 report = msgspec.convert(obj, messages.LoadReport)
                 rep.others = report.others(self.entry_name)
                 rep.reported_at = report.at
-                rep.report_read()
+                rep.record_report()
             elif exc is not None:
-                rep.report_missed(time.monotonic())
+                rep.record_missed_report(time.monotonic())
             self._on_reports(rep.pool)
 
         return done
--- a/gorsefall/policy/admission.py
+++ b/gorsefall/policy/admission.py
@@ -11,7 +11,7 @@
 
 from gorsefall import errors
 from gorsefall import ids
-from gorsefall.policy import comeback
+from gorsefall.policy import retry_delay
 from gorsefall.policy import limits
 
 STARVE_S = 4.0
@@ -65,7 +65,7 @@
         self.priority = self.priority or self.tier
 
 
-class Pace:
+class StartPace:
     """How fast queued requests of some tier or higher are being started.
 
     Measured, since it depends on what more urgent tiers and other entries
@@ -79,7 +79,7 @@
         self.interval_s = 0.0
         self._last = None
 
-    def started(self, now):
+    def record_start(self, now):
         """Notes a start from the queue."""
         if self._last is not None:
             gap = now - self._last
@@ -87,11 +87,11 @@
             self.interval_s = old + PACE_SMOOTHING * (gap - old)
         self._last = now
 
-    def idle(self):
+    def record_idle(self):
         """Notes that nothing waits: the next gap says nothing of the pace."""
         self._last = None
 
-    def step_s(self, now, otherwise):
+    def expected_interval_s(self, now, otherwise):
         """Returns the expected time between starts, s.
 
         Args:
@@ -205,7 +205,7 @@
 
     def __init__(self, capacity, queue_limit=2000, limiter=None):
         super().__init__(capacity, queue_limit, limiter)
-        self._paces = {tier: Pace() for tier in TIERS}
+        self._paces = {tier: StartPace() for tier in TIERS}
 
     def arrive(self, ticket, now):
         """See ``Admission.arrive``."""
@@ -227,14 +227,14 @@
             # behind it late too (noticed as a burst in which all of a
             # class is served and none in time).
             raise errors.ShedError('cannot start in time',
-                                   retry_after=comeback.after_queue_s(wait))
+                                   retry_after=retry_delay.after_queue_s(wait))
         shed = []
         if len(self._waiting) >= self.queue_limit:
             victim = max(self._waiting.values(),
                          key=lambda t: (t.tier, t.arrived))
             if victim.tier <= ticket.tier:
-                raise errors.ShedError('queue full',
-                                       retry_after=comeback.after_queue_s(wait))
+                raise errors.ShedError(
+                    'queue full', retry_after=retry_delay.after_queue_s(wait))
             del self._waiting[victim.rid]
             self.limiter.release(victim.scopes)
             shed.append(victim)
@@ -245,7 +245,7 @@
         """Estimates the wait of a new ticket of ``tier``, s."""
         ahead = 1 + sum(1 for t in self._waiting.values() if t.tier <= tier)
         guess = self.served_time_s / self.fair_share()
-        return ahead * self._paces[tier].step_s(now, guess)
+        return ahead * self._paces[tier].expected_interval_s(now, guess)
 
     def drain(self, now):
         """See ``Admission.drain``."""
@@ -270,9 +270,9 @@
         top = min((t.tier for t in self._waiting.values()), default=None)
         for tier in TIERS:
             if tier >= ticket.tier:
-                self._paces[tier].started(now)
+                self._paces[tier].record_start(now)
             if top is None or tier < top:
-                self._paces[tier].idle()
+                self._paces[tier].record_idle()
 
     def promote(self, now, silent):
         """See ``Admission.promote``.
--- a/gorsefall/policy/announced.py
+++ b/gorsefall/policy/announced_limits.py
@@ -9,25 +9,25 @@
 
 from gorsefall.policy import rendezvous
 
-USED = 0.8
+USED_SHARE = 0.8
 """Part of a limit that is used: entries that do not hear of each other for a
 while count more senders than there are, or fewer."""
 
-MOST_SAVED = 2.0
+MAX_BURST_REQUESTS = 2.0
 """Requests that an entry may send at once after a pause, if that is more."""
 
-RESERVED = 0.5
+URGENT_RESERVE = 0.5
 """Part of a request that is left for the most urgent: it is saved up twice as
 soon again."""
 
-MOST_SAVED_S = 0.5
+MAX_BURST_S = 0.5
 """The same as time of its part, s."""
 
-LEAST_PER_S = 0.05
+MIN_PER_S = 0.05
 """Least rate at which a replica is sent requests, a second: only an answer
 tells that its limit is over."""
 
-SENDER_PER_S = 1.0
+PER_SENDER_PER_S = 1.0
 """Limit for which one entry sends, requests a second."""
 
 
@@ -39,14 +39,14 @@
         entries: Objects with a ``name``, this entry's own among them.
         per_s: The limit, requests a second.
     """
-    count = max(1, min(len(entries), int(per_s / SENDER_PER_S)))
+    count = max(1, min(len(entries), int(per_s / PER_SENDER_PER_S)))
     return sorted(entries,
                   key=lambda e: rendezvous.rank(replica, e),
                   reverse=True)[:count]
 
 
 @dataclasses.dataclass
-class Announced:
+class AnnouncedLimit:
     """What one replica announced last, and what this entry may send it.
 
     Attributes:
@@ -56,23 +56,23 @@
         saved: Requests that this entry may send now.
     """
     per_s: float | None = None
-    heard_at: float = float('-inf')
-    part: float = 0.0
-    saved: float = 0.0
+    announced_at: float = float('-inf')
+    share: float = 0.0
+    available: float = 0.0
     _counted_at: float = 0.0
 
-    def heard(self, per_s, at):
+    def update(self, per_s, at):
         """Notes what an answer said; returns whether that is a change.
 
         What comes late says nothing of now.
         """
-        if at <= self.heard_at:
+        if at <= self.announced_at:
             return False
-        self.heard_at = at
+        self.announced_at = at
         if per_s == self.per_s:
             return False
         if self.per_s is None:
-            self.saved, self._counted_at = 0.0, at
+            self.available, self._counted_at = 0.0, at
         self.per_s = per_s
         return True
 
@@ -86,17 +86,17 @@
         if self.per_s is None:
             return True
         self._count(now)
-        return self.saved >= 1.0 + (0.0 if urgent else RESERVED)
+        return self.available >= 1.0 + (0.0 if urgent else URGENT_RESERVE)
 
-    def sent(self, now):
+    def record_sent(self, now):
         """Notes a request that is sent now."""
         if self.per_s is not None:
             self._count(now)
-            self.saved -= 1.0
+            self.available -= 1.0
 
     def _count(self, now):
-        per_s = USED * max(LEAST_PER_S, self.per_s) * self.part
+        per_s = USED_SHARE * max(MIN_PER_S, self.per_s) * self.share
         gained = per_s * max(0.0, now - self._counted_at)
-        most = max(MOST_SAVED, MOST_SAVED_S * per_s)
-        self.saved = min(most, self.saved + gained)
+        most = max(MAX_BURST_REQUESTS, MAX_BURST_S * per_s)
+        self.available = min(most, self.available + gained)
         self._counted_at = now
--- a/gorsefall/policy/patience.py
+++ b/gorsefall/policy/attempt_timeouts.py
@@ -14,31 +14,31 @@
 """Part of the time left that an attempt which may be repeated waits for its
 answer to begin, before another replica is asked."""
 
-ATTEMPT_MIN_S = 0.15
+MIN_ATTEMPT_S = 0.15
 """Shortest such wait, s: over three times the slowest usual call (110 ms is
 the longest on the services' data sheet, at five times the usual 22)."""
 
-STREAM_ATTEMPT_MIN_S = 1.2
+MIN_STREAM_ATTEMPT_S = 1.2
 """The same for streams, whose first event waits for its prompt to be read."""
 
 STREAM_GAP_S = 1.0
 """Silence within a stream that may be resumed, after which another replica
 is asked, s: over twice the longest pause that callers take for on time."""
 
-COPY_GAP_S = 0.5
+BACKUP_GAP_S = 0.5
 """Silence within a stream that has a copy, after which its replica is looked
 for, s: twice the longest pause that callers take for on time, a quarter of
 what they bear."""
 
 
-class Patience:
+class StartLatency:
     """The usual time until an answer begins, of one service and kind."""
 
     def __init__(self):
         self._mean_s = None
         self._deviation_s = 0.0
 
-    def began(self, after_s):
+    def record(self, after_s):
         """Notes an answer that began after ``after_s``.
 
         Attempts that are given up count too, with the time they waited: else
@@ -53,7 +53,7 @@
         self._deviation_s += DEVIATION_SMOOTHING * (gap - self._deviation_s)
         self._mean_s += SMOOTHING * (after_s - self._mean_s)
 
-    def wait_s(self, floor_s):
+    def timeout_s(self, floor_s):
         """Returns how long to wait, at least ``floor_s``."""
         if self._mean_s is None:
             return floor_s
@@ -68,5 +68,5 @@
         left_s: Time the request has left, s.
         streams: Whether the answer is a stream.
     """
-    floor_s = STREAM_ATTEMPT_MIN_S if streams else ATTEMPT_MIN_S
-    return max(ATTEMPT_SHARE * left_s, usual.wait_s(floor_s))
+    floor_s = MIN_STREAM_ATTEMPT_S if streams else MIN_ATTEMPT_S
+    return max(ATTEMPT_SHARE * left_s, usual.timeout_s(floor_s))
--- a/gorsefall/policy/attempts.py
+++ b/gorsefall/policy/attempts.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Terms:
+class RetryTerms:
     """What may be repeated, and how often.
 
     Attributes:
@@ -24,8 +24,8 @@
             was.
     """
     repeatable: bool
-    most: int
-    refusals_free: bool = False
+    max_attempts: int
+    refusals_uncounted: bool = False
 
 
 class Attempts:
@@ -38,53 +38,53 @@
     """
 
     def __init__(self):
-        self.names = []
+        self.replicas = []
         self.tried = set()
         self.in_doubt = []
         self._refusals = 0
 
-    def sent(self, name):
+    def record_sent(self, name):
         """Notes that it goes out to ``name``."""
-        self.names.append(name)
+        self.replicas.append(name)
         self.tried.add(name)
         self.in_doubt.append(name)
 
-    def not_reached(self):
+    def record_unreached(self):
         """Notes that no byte of the last send went out: it was no attempt."""
-        self.in_doubt.remove(self.names.pop())
+        self.in_doubt.remove(self.replicas.pop())
 
-    def refused(self):
+    def record_refusal(self):
         """Notes that the last replica says it did not run it."""
         self._refusals += 1
-        self.in_doubt.remove(self.names[-1])
+        self.in_doubt.remove(self.replicas[-1])
 
-    def withdrawn(self):
+    def record_withdrawal(self):
         """Notes that the last send was given up before a byte went out."""
-        self.in_doubt.remove(self.names[-1])
+        self.in_doubt.remove(self.replicas[-1])
 
-    def room(self, terms):
+    def has_attempts_left(self, terms):
         """Whether ``terms`` leave it another replica, run or not."""
-        free = self._refusals if terms.refusals_free else 0
-        return len(self.names) - free < terms.most
+        free = self._refusals if terms.refusals_uncounted else 0
+        return len(self.replicas) - free < terms.max_attempts
 
-    def may_repeat(self, terms):
+    def may_run_concurrently(self, terms):
         """Whether it may be sent beside a run that is under way."""
-        return terms.repeatable and self.room(terms)
+        return terms.repeatable and self.has_attempts_left(terms)
 
-    def may_go_on(self, terms):
+    def may_retry(self, terms):
         """Whether it may be sent once more after its last run ended."""
-        return self.room(terms) and not self.forbids(terms)
+        return self.has_attempts_left(terms) and not self.forbids_rerun(terms)
 
-    def forbids(self, terms):
+    def forbids_rerun(self, terms):
         """Whether a run that may have begun must not be begun anew."""
         return bool(self.in_doubt) and not terms.repeatable
 
-    def unknown(self, reason):
+    def outcome_unknown_error(self, reason):
         """Returns the error that says its last replica may have run it."""
         return errors.OutcomeUnknownError(
-            f'{self.names[-1]} may have run it: {reason}')
+            f'{self.replicas[-1]} may have run it: {reason}')
 
-    def honest(self, exc, reason, terms):
+    def reportable_error(self, exc, reason, terms):
         """Returns ``exc``, or what may be said in its place.
 
         While an earlier run is in doubt, "not run" would be false: a caller
@@ -95,5 +95,5 @@
                            not terms.repeatable)
         if (self.in_doubt and claims_too_much and
                 not isinstance(exc, errors.OutcomeUnknownError)):
-            return self.unknown(reason)
+            return self.outcome_unknown_error(reason)
         return exc
--- a/gorsefall/policy/budget.py
+++ b/gorsefall/policy/budget.py
@@ -10,15 +10,15 @@
 
 import msgspec
 
-SHARE = 0.7
+USED_RATIO_SHARE = 0.7
 """Part of the allowed ratio that is used: requests are counted by when they
 arrive, retries come later and may fall into a window with fewer requests."""
 
-LEAST_FIXED = 1.0
+MIN_FIXED_RETRIES = 1.0
 """Retries of the fixed number that an entry takes in any case: with little
 traffic nothing is seen of the others, and the number is for just that."""
 
-MOST_OF_FIXED = 1 / 12
+MAX_FIXED_SHARE_ALONE = 1 / 12
 """Largest part of the fixed number that an entry takes which hears no other:
 half of what it carries in today's deployments of 6 and 7, as restarted ones
 start afresh. With 80 entries this alone would add up to seven times the
@@ -50,7 +50,8 @@
 
         Args:
             allowance: The ``Allowance`` of all entries.
-            part: The ``share.Share`` that it has as far as it can tell alone.
+            part: The ``traffic_share.TrafficShare`` that it estimates
+                by itself.
             others: Returns the requests that the other entries had in the
                 window; None while none is heard.
         """
@@ -60,21 +61,21 @@
         self._firsts = collections.deque()
         self._retries = collections.deque()
 
-    def first(self, now):
+    def record_first_attempt(self, now):
         """Notes a request's first send at ``now``, s (monotonic)."""
         self._expire(now)
         self._firsts.append(now)
 
-    def firsts(self, now):
+    def first_attempts(self, now):
         """Returns the first sends in the window that ends now."""
         self._expire(now)
         return len(self._firsts)
 
-    def room(self, now):
+    def available(self, now):
         """Returns how many more retries may be sent now."""
         self._expire(now)
         a = self.allowance
-        allowed = self._fixed() + SHARE * a.ratio * len(self._firsts)
+        allowed = self._fixed() + USED_RATIO_SHARE * a.ratio * len(self._firsts)
         return int(allowed - len(self._retries))
 
     def _fixed(self):
@@ -86,14 +87,16 @@
         slack = self.allowance.slack
         others = self._others()
         if others is None:
-            fixed = max(LEAST_FIXED, SHARE * self._part.value * slack)
-            return min(MOST_OF_FIXED * slack, fixed)
+            fixed = max(MIN_FIXED_RETRIES,
+                        USED_RATIO_SHARE * self._part.value * slack)
+            return min(MAX_FIXED_SHARE_ALONE * slack, fixed)
         own = len(self._firsts)
-        return max(LEAST_FIXED, SHARE * slack * own / max(1, own + others))
+        return max(MIN_FIXED_RETRIES,
+                   USED_RATIO_SHARE * slack * own / max(1, own + others))
 
-    def take(self, now):
+    def acquire(self, now):
         """Takes one retry; returns whether it may be sent."""
-        if self.room(now) < 1:
+        if self.available(now) < 1:
             return False
         self._retries.append(now)
         return True
--- a/gorsefall/policy/freshness.py
+++ b/gorsefall/policy/freshness.py
@@ -28,7 +28,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class Proof:
+class Confirmation:
     """When the configuration was last confirmed.
 
     Attributes:
@@ -40,7 +40,7 @@
         self.bound_s = bound_s
         self.sent_at = float('-inf')
 
-    def confirmed(self, sent_at):
+    def record_read(self, sent_at):
         """Notes an answered read.
 
         It is dated from when it was sent: the answer holds what was true at
@@ -61,6 +61,6 @@
         age_s = self.age_s()
         return None if math.isinf(age_s) else round(age_s, 3)
 
-    def valid(self):
+    def is_current(self):
         """Returns whether requests that need a key may be handed on now."""
         return self.age_s() <= self.bound_s
--- a/gorsefall/policy/health.py
+++ b/gorsefall/policy/health.py
@@ -8,7 +8,7 @@
 """Longest pause, s, so that one that is back is found again within it."""
 
 
-def sound(targets, now):
+def select_healthy(targets, now):
     """Returns those of ``targets`` that get work, at least one if any is there.
 
     While all are paused, the one whose pause ends first is asked: a guess is
@@ -34,9 +34,9 @@
     """
     failures = 0
     eject_until = 0.0
-    unheard = False
+    missed_report_only = False
 
-    def failed(self, now):
+    def record_failure(self, now):
         """Notes a failed call and ejects the replica for a while.
 
         Without it a crashing replica, being idle, looks least busy and
@@ -44,33 +44,33 @@
         failed attempts). The time doubles with each failure in a row; after
         it, the next request probes the replica.
         """
-        self.unheard = False
+        self.missed_report_only = False
         self.failures += 1
         pause = min(EJECT_MAX_S, EJECT_BASE_S * 2**(self.failures - 1))
         self.eject_until = now + pause
 
-    def succeeded(self):
+    def record_success(self):
         """Notes a whole answer: the replica is healthy again."""
-        self.unheard = False
+        self.missed_report_only = False
         self.failures = 0
         self.eject_until = 0.0
 
-    def report_missed(self, now):
+    def record_missed_report(self, now):
         """Notes that a load report could not be read.
 
         Only the first one counts: requests tell more of a replica that is
         known to be in trouble.
         """
         if not self.failures:
-            self.failed(now)
-            self.unheard = True
+            self.record_failure(now)
+            self.missed_report_only = True
 
-    def report_read(self):
+    def record_report(self):
         """Notes a load report: a pause for a missed one is over.
 
         A replica that is asked before it listens would else stay out for
         half a second after it is up (noticed as a 502 just after a start,
         with a sound replica that was never asked).
         """
-        if self.unheard:
-            self.succeeded()
+        if self.missed_report_only:
+            self.record_success()
--- a/gorsefall/policy/knowledge.py
+++ b/gorsefall/policy/knowledge.py
@@ -10,12 +10,12 @@
 from gorsefall.policy import prompts
 from gorsefall.policy import stalls
 
-ERRORS_SMOOTHING = 0.15
+ERROR_SMOOTHING = 0.15
 
-UNREAD_SMOOTHING = 0.1
+PREFILL_SMOOTHING = 0.1
 """How fast the mean prompt follows: over about ten requests."""
 
-READ_PER_WRITTEN = 8
+DECODE_HEAVY_MAX_RATIO = 8
 """A request that reads fewer prompt tokens than this for each token it may
 write spends its time writing. Reading one takes 0.02 ms and writing one 3 ms
 and more, so both kinds lie far from it: 3 for chats, 100 and more for the
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass
-class Target(health.Health):
+class ReplicaView(health.Health):
     """What an entry knows of one replica that requests can go to.
 
     Attributes:
@@ -42,9 +42,9 @@
         mean_unread: Smoothed prompt tokens to be read for a request there.
         reported_at: When its last load came, s (monotonic).
         error_share: Smoothed share of failed answers, 0 to 1.
-        link: The ``stalls.Link`` to it.
+        link: The ``stalls.LinkQuality`` to it.
         pause: A ``pace.Quantile`` of the pauses in its streams, ms.
-        kept: The ``prompts.Kept`` there.
+        kept: The ``prompts.PromptCache`` there.
         failures: See ``health.Health``.
         eject_until: See ``health.Health``.
     """
@@ -54,64 +54,68 @@
     engine: bool
     outstanding: int = 0
     pending: int = 0
-    pending_tokens: int = 0
-    writing: int = 0
-    others: int = 0
-    others_tokens: float = 0.0
-    others_writing: int = 0
-    mean_unread: float = 2048.0
+    prefill_tokens: int = 0
+    decode_heavy: int = 0
+    others_requests: int = 0
+    others_prefill_tokens: float = 0.0
+    others_decode_heavy: int = 0
+    mean_prefill_tokens: float = 2048.0
     reported_at: float = float('-inf')
     error_share: float = 0.0
-    link: stalls.Link = dataclasses.field(default_factory=stalls.Link)
-    pause: pace.Quantile = dataclasses.field(default_factory=pace.pauses)
-    kept: prompts.Kept = dataclasses.field(default_factory=prompts.Kept)
+    link: stalls.LinkQuality = dataclasses.field(
+        default_factory=stalls.LinkQuality)
+    pause: pace.Quantile = dataclasses.field(
+        default_factory=pace.pause_quantile)
+    prompt_cache: prompts.PromptCache = dataclasses.field(
+        default_factory=prompts.PromptCache)
     failures: int = 0
     eject_until: float = 0.0
 
-    def report(self, running, waiting, now):
+    def record_load(self, running, waiting, now):
         """Notes how many requests the replica said it runs and lets wait."""
-        self.others = max(0, running + waiting - self.outstanding)
+        self.others_requests = max(0, running + waiting - self.outstanding)
         unread = max(0, waiting - self.pending)
-        self.others_tokens = unread * self.mean_unread
+        self.others_prefill_tokens = unread * self.mean_prefill_tokens
         self.reported_at = now
 
-    def told(self, row, now):
-        """Notes the ``membership.Row`` of all other entries together."""
-        self.others = row.requests
-        self.others_tokens = row.tokens
-        self.others_writing = row.writing
+    def record_others(self, row, now):
+        """Notes the ``membership.InFlight`` of all other entries together."""
+        self.others_requests = row.requests
+        self.others_prefill_tokens = row.prefill_tokens
+        self.others_decode_heavy = row.decode_heavy
         self.reported_at = now
 
-    def sent(self, tokens, *, writes=False):
+    def record_sent(self, tokens, *, decode_heavy=False):
         """Notes an own request for which ``tokens`` are to be read."""
-        self.writing += writes
+        self.decode_heavy += decode_heavy
         self.outstanding += 1
         self.pending += 1
-        self.pending_tokens += tokens
-        self.mean_unread += UNREAD_SMOOTHING * (tokens - self.mean_unread)
+        self.prefill_tokens += tokens
+        self.mean_prefill_tokens += PREFILL_SMOOTHING * (
+            tokens - self.mean_prefill_tokens)
 
-    def began(self, tokens):
+    def record_prefilled(self, tokens):
         """Notes that the prompt of such a request is read."""
         self.pending -= 1
-        self.pending_tokens -= tokens
+        self.prefill_tokens -= tokens
 
-    def ended(self, *, writes=False):
+    def record_end(self, *, decode_heavy=False):
         """Notes that an own request is no longer there."""
         self.outstanding -= 1
-        self.writing -= writes
+        self.decode_heavy -= decode_heavy
 
-    def row(self):
-        """Returns the ``membership.Row`` of the own requests there."""
-        return membership.Row(self.outstanding, self.pending_tokens,
-                              self.writing)
+    def in_flight(self):
+        """Returns the ``membership.InFlight`` of the own requests there."""
+        return membership.InFlight(self.outstanding, self.prefill_tokens,
+                                   self.decode_heavy)
 
-    def answered(self, ok):
+    def record_response(self, ok):
         """Notes whether an answer was what the caller needed."""
-        self.error_share += ERRORS_SMOOTHING * ((not ok) - self.error_share)
+        self.error_share += ERROR_SMOOTHING * ((not ok) - self.error_share)
 
 
 @dataclasses.dataclass(frozen=True)
-class Want:
+class RequestProfile:
     """What placement needs to know of a request.
 
     Attributes:
@@ -128,13 +132,13 @@
     parts: tuple[prompts.Part, ...] = ()
     tokens: int = 0
     tokens_out: int = 0
-    limit_ms: float = math.inf
+    queue_limit_ms: float = math.inf
     gap_ms: float = 0.0
 
     @property
-    def writes(self):
+    def decode_heavy(self):
         """Whether its time goes into writing rather than into reading."""
-        return self.tokens < READ_PER_WRITTEN * self.tokens_out
+        return self.tokens < DECODE_HEAVY_MAX_RATIO * self.tokens_out
 
     @property
     def session(self):
--- a/gorsefall/policy/limits.py
+++ b/gorsefall/policy/limits.py
@@ -81,7 +81,7 @@
 
 
 @dataclasses.dataclass
-class Use:
+class Usage:
     """What one entry uses of one limit.
 
     Attributes:
@@ -92,7 +92,7 @@
     rate: float = 0.0
 
 
-class _Own(Use):
+class _Own(Usage):
     """This entry's use of one limit, with its token bucket."""
 
     def __init__(self, part, now):
@@ -124,8 +124,8 @@
 
     def __init__(self, shares=None):
         self.shares = shares or Shares()
-        self.peers = {}
-        self.silent = None
+        self.peer_usage = {}
+        self.silent_peers = None
         self._uses = {}
 
     def admit(self, scopes, now, hint_s):
@@ -161,7 +161,8 @@
 
     def _silent(self):
         known = self.shares.entries - 1
-        return known if self.silent is None else min(self.silent, known)
+        return known if self.silent_peers is None else min(
+            self.silent_peers, known)
 
     # Of what all entries together leave unused, each may take its part.
     # When all take theirs at once, the limit is reached and not passed; what
@@ -170,13 +171,14 @@
 
     def _concurrency(self, key, use, limit):
         part = self.shares.concurrency(key, limit)
-        others = self.peers.get(key, Use()).inflight + self._silent() * part
+        others = self.peer_usage.get(key,
+                                     Usage()).inflight + self._silent() * part
         spare = max(0, limit - use.inflight - others)
         return max(part, use.inflight + spare // self.shares.entries)
 
     def _rate(self, key, use, limit):
         part = self.shares.rate(limit)
-        others = self.peers.get(key, Use()).rate + self._silent() * part
+        others = self.peer_usage.get(key, Usage()).rate + self._silent() * part
         spare = max(0.0, limit - use.rate - others)
         return max(part, use.rate + spare / self.shares.entries)
 
--- a/gorsefall/policy/overload.py
+++ b/gorsefall/policy/overload.py
@@ -9,55 +9,55 @@
 import math
 import random
 
-from gorsefall.policy import comeback
+from gorsefall.policy import retry_delay
 
-QUEUE_SHARE = 0.7
+QUEUE_SHARE_OF_TARGET = 0.7
 """Part of its target that a request of the least urgent rank may spend behind
 others; the rest is for its own prompt."""
 
-GROWTH = 3.0
+LIMIT_GROWTH_PER_RANK = 3.0
 """How many times longer that may be for each rank above the least urgent: who
 is more urgent goes first in a replica's queue, so what is known of its length
 is hardly theirs."""
 
-RANK_SHARE = 0.05
+MIN_RANK_SHARE = 0.05
 """Part of the requests that a rank must have to count as one: a rank that
 nobody asks for leaves nothing to be refused before the others."""
 
-RANK_MEMORY = 512
+MAX_COUNTED_REQUESTS = 512
 """Requests after which the counts of ranks are halved, so that they follow
 the traffic; the least of our load sheets' rates brings as many in 20 s."""
 
 
-class Ranks:
+class RankStats:
     """How often each rank is asked for at a service, and for which target."""
 
     def __init__(self):
         self._counts = collections.Counter()
         self._targets_ms = {}
 
-    def asked(self, rank, target_ms):
+    def record_request(self, rank, target_ms):
         """Notes a request of ``rank``, 0 the most urgent."""
         self._counts[rank] += 1
         self._targets_ms[rank] = target_ms
-        if self._counts.total() > RANK_MEMORY:
+        if self._counts.total() > MAX_COUNTED_REQUESTS:
             self._counts = collections.Counter({
                 r: n // 2 for r, n in self._counts.items()
             })
 
     def _below(self, rank):
         """Returns the less urgent ranks in use, the least urgent first."""
-        least = RANK_SHARE * self._counts.total()
+        least = MIN_RANK_SHARE * self._counts.total()
         return sorted(
             (r for r, n in self._counts.items() if r > rank and n >= least),
             reverse=True)
 
-    def leads(self, rank):
+    def is_most_urgent(self, rank):
         """Returns whether no rank in use is more urgent."""
-        least = RANK_SHARE * self._counts.total()
+        least = MIN_RANK_SHARE * self._counts.total()
         return not any(r < rank and n >= least for r, n in self._counts.items())
 
-    def limit_ms(self, rank, target_ms):
+    def queue_limit_ms(self, rank, target_ms):
         """Returns the longest queue a request may be put behind, ms.
 
         ``GROWTH`` times what the next less urgent rank bears, at least. With
@@ -73,10 +73,11 @@
             return math.inf
         below = self._below(rank)
         longest_ms = max([target_ms, *(self._targets_ms[r] for r in below)])
-        return QUEUE_SHARE * longest_ms * GROWTH**len(below)
+        return QUEUE_SHARE_OF_TARGET * longest_ms * LIMIT_GROWTH_PER_RANK**len(
+            below)
 
 
-def refuse_for_s(choice, limit_ms, rng=random):
+def retry_after_s(choice, limit_ms, rng=random):
     """Returns after how long a request had better return, s, or None.
 
     Args:
@@ -89,4 +90,4 @@
         return None
     if choice.queue_ms <= limit_ms:
         return None
-    return comeback.after_queue_s(choice.queue_ms / 1000, rng)
+    return retry_delay.after_queue_s(choice.queue_ms / 1000, rng)
--- a/gorsefall/policy/pace.py
+++ b/gorsefall/policy/pace.py
@@ -8,41 +8,41 @@
 import math
 import statistics
 
-READ_MS_GUESS = 0.02
+INITIAL_PREFILL_MS_PER_TOKEN = 0.02
 """First guess of the time to read one prompt token, ms; engines of today take
 0.017 to 0.024."""
 
-READ_TOKENS_MIN = 1000
+MIN_PREFILL_TOKENS = 1000
 """Tokens to be read, for an answer's start to tell the reading speed: with
 fewer the way there and back and a step or two count as much."""
 
-STAY_MS_GUESS = 50.0
+INITIAL_RESIDENCE_MS = 50.0
 """First guess of how long a request stays at a replica, ms: a short call."""
 
-QUICK = 0.3
+PREFILL_QUANTILE = 0.3
 """Quantile of the times seen that is taken for what the work itself takes; the
 others waited behind work that this entry did not know of."""
 
-PAUSE_MS_GUESS = 20.0
+INITIAL_PAUSE_MS = 20.0
 """First guess of the pause between two events, ms; 17 to 35 today."""
 
-QUIET = 0.1
+PAUSE_QUANTILE = 0.1
 """Quantile of the pauses that is taken for a replica's own: most others come
 while prompts are read beside the stream."""
 
-PAUSE_STEP = 0.1
+MIN_PAUSE_STEP = 0.1
 """Least step with which pauses are followed: two usual long answers show an
 engine that turned five times slower."""
 
-SAMPLES_MIN = 20
+MIN_PAUSE_SAMPLES = 20
 """Pauses seen of a replica before its speed is told from the others': less
 than half of a usual long answer."""
 
-SLOWNESS_MIN = 2.0
+MIN_SLOWNESS = 2.0
 """From when on a replica counts as slower: less than this differs by what is
 read beside its streams, and by machines of two makes."""
 
-SLOWNESS_MAX = 20.0
+MAX_SLOWNESS = 20.0
 """Most that one replica counts as slower than the others."""
 
 
@@ -61,33 +61,33 @@
         self._share = share
         self._last_step = last_step
         self.value = guess
-        self.seen = 0
+        self.samples = 0
 
-    def saw(self, value):
+    def record(self, value):
         """Notes a value; what is not positive is passed over."""
         if value <= 0:
             return
-        step = max(self._last_step, self._FIRST_STEP / (1 + self.seen))
-        self.seen += 1
+        step = max(self._last_step, self._FIRST_STEP / (1 + self.samples))
+        self.samples += 1
         towards = self._share if value > self.value else self._share - 1
         self.value *= math.exp(step * towards)
 
 
-class Stay:
+class ResidenceTime:
     """Smoothed time that requests stay at the replicas of a service."""
     _SMOOTHING = 0.05
 
     def __init__(self):
-        self.ms = STAY_MS_GUESS
+        self.ms = INITIAL_RESIDENCE_MS
         self._seen = 0
 
-    def ended(self, ms):
+    def record(self, ms):
         """Notes a request that ended whole after ``ms``."""
         self._seen += 1
         self.ms += max(self._SMOOTHING, 1 / self._seen) * (ms - self.ms)
 
 
-class Pace:
+class ServiceSpeed:
     """What was learned of the replicas of one service.
 
     Attributes:
@@ -95,15 +95,15 @@
     """
 
     def __init__(self):
-        self._read = Quantile(QUICK, READ_MS_GUESS)
-        self.stay = Stay()
+        self._read = Quantile(PREFILL_QUANTILE, INITIAL_PREFILL_MS_PER_TOKEN)
+        self.residence = ResidenceTime()
 
     @property
-    def read_ms(self):
+    def prefill_ms_per_token(self):
         """Time to read one prompt token at a usual replica, ms."""
         return self._read.value
 
-    def began(self, after_ms, tokens, slowness):
+    def record_start(self, after_ms, tokens, slowness):
         """Notes an answer's start.
 
         Args:
@@ -112,13 +112,13 @@
                 included.
             slowness: Of the replica; see ``slowness``.
         """
-        if tokens >= READ_TOKENS_MIN:
-            self._read.saw(after_ms / tokens / slowness)
+        if tokens >= MIN_PREFILL_TOKENS:
+            self._read.record(after_ms / tokens / slowness)
 
 
-def pauses():
+def pause_quantile():
     """Returns a ``Quantile`` for the pauses in a replica's streams, ms."""
-    return Quantile(QUIET, PAUSE_MS_GUESS, PAUSE_STEP)
+    return Quantile(PAUSE_QUANTILE, INITIAL_PAUSE_MS, MIN_PAUSE_STEP)
 
 
 def usual_pause_ms(targets):
@@ -127,13 +127,15 @@
     Args:
         targets: Have ``pause``, a ``Quantile`` of pauses, ms.
     """
-    known = [t.pause.value for t in targets if t.pause.seen >= SAMPLES_MIN]
+    known = [
+        t.pause.value for t in targets if t.pause.samples >= MIN_PAUSE_SAMPLES
+    ]
     return statistics.median_low(known) if len(known) > 1 else None
 
 
 def slowness(target, usual_ms):
     """Returns how many times slower a replica is than usual, 1.0 at least."""
-    if usual_ms is None or target.pause.seen < SAMPLES_MIN:
+    if usual_ms is None or target.pause.samples < MIN_PAUSE_SAMPLES:
         return 1.0
     ratio = target.pause.value / usual_ms
-    return min(SLOWNESS_MAX, ratio) if ratio >= SLOWNESS_MIN else 1.0
+    return min(MAX_SLOWNESS, ratio) if ratio >= MIN_SLOWNESS else 1.0
--- a/gorsefall/policy/split.py
+++ b/gorsefall/policy/partition.py
@@ -9,27 +9,28 @@
 
 from gorsefall.policy import rendezvous
 
-PEAK = 1.0
+PEAK_DEVIATIONS = 1.0
 """Standard deviations by which the requests that write may rise over their
 number now, while their engines have slots for them."""
 
-LOWER_S = 20.0
+SHRINK_DELAY_S = 20.0
 """How long fewer engines have to do before one is given back to the others, s.
 Each change moves sessions, whose prompts are then read anew."""
 
 
-class Split:
+class DecodePartition:
     """How many engines are kept: as many as the requests that write fill."""
 
     def __init__(self):
         self._count = 1
         self._lower_at = None
 
-    def kept(self, engines, writing, now, unseen=0.0):
+    def decode_engines(self, engines, writing, now, unseen=0.0):
         """Returns the names of the engines kept; half of all at most.
 
         Args:
-            engines: The ``knowledge.Target`` objects of the service's engines.
+            engines: The ``knowledge.ReplicaView`` of each engine of the
+                service.
             writing: Requests that write, at all of them.
             now: Time, s (monotonic).
             unseen: Those that others may have sent since they spoke.
@@ -38,23 +39,23 @@
         if not most:
             return set()
         slots = statistics.fmean(t.slots for t in engines)
-        peak = writing + PEAK * math.sqrt(writing) + unseen
+        peak = writing + PEAK_DEVIATIONS * math.sqrt(writing) + unseen
         needed = min(most, max(1, math.ceil(peak / slots)))
         self._follow(needed, now)
-        return quiet(engines, min(self._count, most))
+        return select_engines(engines, min(self._count, most))
 
     def _follow(self, needed, now):
         if needed >= self._count:
             self._count = needed
             self._lower_at = None
         elif self._lower_at is None:
-            self._lower_at = now + LOWER_S
+            self._lower_at = now + SHRINK_DELAY_S
         elif now >= self._lower_at:
             self._count -= 1
             self._lower_at = None
 
 
-def quiet(engines, count):
+def select_engines(engines, count):
     """Returns the names of the ``count`` engines kept, the same everywhere."""
     ordered = sorted(engines, key=lambda t: rendezvous.rank('quiet', t))
     return {t.name for t in ordered[:count]}
--- a/gorsefall/policy/peerview.py
+++ b/gorsefall/policy/peerview.py
@@ -5,21 +5,21 @@
 from gorsefall.policy import membership
 from gorsefall.policy import prompts
 
-USES_S = 0.4
+PROMPT_USE_REPORT_S = 0.4
 """How long a use of a replica's cached prompts is told to the others, s: in a
 few messages, of which some may be lost."""
 
-ANSWERS_S = 1.5
+RESPONSE_REPORT_S = 1.5
 """How long an answer is told of, s: to each of many entries once or twice."""
 
-TOLD_ERRORS = 0.02
+REPORTED_ERROR_SHARE = 0.02
 """Share of failed answers of a replica from which on good ones are told too, so
 that it is believed sound again; of the others nothing need be said."""
 
-MAX_ANSWERS = 64
+MAX_RESPONSES = 64
 """Most answers told of in a message, the last ones; see ``MAX_USES``."""
 
-MAX_USES = 64
+MAX_PROMPT_USES = 64
 """Most uses told in a message, the last ones; an entry has 16 requests a
 second at the size of two years hence."""
 
@@ -36,102 +36,103 @@
 
         Args:
             name: The entry's name.
-            find: Returns the ``knowledge.Target`` of a replica's id, or None.
+            find: Returns the ``knowledge.ReplicaView`` of a replica id, or
+                None.
         """
         self._find = find
-        self._uses = collections.deque(maxlen=MAX_USES)
-        self._answers = collections.deque(maxlen=MAX_ANSWERS)
+        self._uses = collections.deque(maxlen=MAX_PROMPT_USES)
+        self._answers = collections.deque(maxlen=MAX_RESPONSES)
         self._answered = 0
         self.members = membership.Members(name)
 
-    def prompt_sent(self, target, parts, now):
+    def record_prompt(self, target, parts, now):
         """Notes the shared parts that a replica reads for an own request."""
-        target.kept.used(parts)
-        known = tuple(p for p in parts if p.tokens >= prompts.PART_TOKENS_MIN)
+        target.prompt_cache.record_use(parts)
+        known = tuple(p for p in parts if p.tokens >= prompts.MIN_PART_TOKENS)
         if known:
             self._uses.append((now, prompts.Use(target.name, known)))
 
-    def answered(self, target, ok, now):
+    def record_response(self, target, ok, now):
         """Notes whether a replica's answer was what the caller needed.
 
         The others are told: with many entries each has few calls, and one
         that learns of a bad replica by itself alone loses several of them.
         """
-        target.answered(ok)
-        if ok and target.error_share < TOLD_ERRORS:
+        target.record_response(ok)
+        if ok and target.error_share < REPORTED_ERROR_SHARE:
             return
         self._answered += 1
-        self._answers.append((now, membership.Answer(target.name, ok)))
+        self._answers.append((now, membership.Response(target.name, ok)))
 
-    def heard(self, host, status, now):
+    def record_status(self, host, status, now):
         """Takes in what another entry tells; returns whether it is news."""
-        last = self.members.last(host)
-        if not self.members.heard(host, status, now):
+        last = self.members.last_status(host)
+        if not self.members.record_status(host, status, now):
             return False
-        for answer in status.answers_after(last):
+        for answer in status.responses_after(last):
             target = self._find(answer.replica)
             if target is not None:
-                target.answered(answer.ok)
-        for use in status.uses:
+                target.record_response(answer.ok)
+        for use in status.prompt_uses:
             target = self._find(use.replica)
             if target is not None:
-                target.kept.used(use.parts)
+                target.prompt_cache.record_use(use.parts)
         return True
 
-    def show(self, targets, now):
+    def update_views(self, targets, now):
         """Puts the others' work into ``targets``, unless nobody is heard."""
         if self.members.alone:
             return
         for target in targets:
-            target.told(self.members.row(target.name), now)
-
-    def status(self,
-               boot,
-               seq,
-               targets,
-               now,
-               *,
-               firsts=None,
-               hosts=(),
-               zone='',
-               reads=False,
-               sightings=(),
-               suspects=0,
-               limits=(),
-               ended=()):
+            target.record_others(self.members.in_flight(target.name), now)
+
+    def build_status(self,
+                     started_at_ms,
+                     seq,
+                     targets,
+                     now,
+                     *,
+                     first_attempts=None,
+                     known_hosts=(),
+                     zone='',
+                     can_read_store=False,
+                     run_reports=(),
+                     suspects_summary=0,
+                     limit_reports=(),
+                     replica_exits=()):
         """Returns the ``membership.Status`` to tell the others.
 
         Args:
-            boot: When this process started, ms since 1970.
+            started_at_ms: When this process started, ms since 1970.
             seq: Number of the message.
-            targets: All ``knowledge.Target`` objects.
+            targets: All ``knowledge.ReplicaView`` objects.
             now: Time, s (monotonic).
-            firsts: ``service -> requests`` in the retry window.
-            hosts: Hosts of some entries that are heard.
+            first_attempts: ``service -> requests`` in the retry window.
+            known_hosts: Hosts of some entries that are heard.
             zone: This entry's availability zone.
-            reads: Whether it can read the store for others.
-            sightings: See ``membership.Status``.
-            suspects: See there.
-            limits: See there.
-            ended: See there.
+            can_read_store: Whether it can read the store for others.
+            run_reports: See ``membership.Status``.
+            suspects_summary: See there.
+            limit_reports: See there.
+            replica_exits: See there.
         """
-        while self._uses and self._uses[0][0] < now - USES_S:
+        while self._uses and self._uses[0][0] < now - PROMPT_USE_REPORT_S:
             self._uses.popleft()
-        while self._answers and self._answers[0][0] < now - ANSWERS_S:
+        while self._answers and self._answers[0][0] < now - RESPONSE_REPORT_S:
             self._answers.popleft()
         return membership.Status(
             name=self.members.name,
-            boot=boot,
+            started_at_ms=started_at_ms,
             seq=seq,
-            firsts=firsts or {},
-            rows={t.name: t.row() for t in targets if t.outstanding},
-            uses=tuple(use for _, use in self._uses),
-            hosts=tuple(hosts),
-            answered=self._answered - len(self._answers),
-            answers=tuple(answer for _, answer in self._answers),
+            first_attempts=first_attempts or {},
+            in_flight={t.name: t.in_flight() for t in targets if t.outstanding},
+            prompt_uses=tuple(use for _, use in self._uses),
+            known_hosts=tuple(known_hosts),
+            responses_before=self._answered - len(self._answers),
+            responses=tuple(answer for _, answer in self._answers),
             zone=zone,
-            reads=reads,
-            sightings=sightings,
-            suspects=suspects,
-            limits=limits,
-            ended=ended)
+            can_read_store=can_read_store,
+            run_reports=run_reports,
+            suspects_summary=suspects_summary,
+            limit_reports=limit_reports,
+            replica_exits=replica_exits)
--- a/gorsefall/policy/prompts.py
+++ b/gorsefall/policy/prompts.py
@@ -10,15 +10,15 @@
 
 import msgspec
 
-KEPT_SHARE = 0.6
+CACHE_SHARE = 0.6
 """Part of a replica's memory that is taken for kept parts; the rest is for the
 requests that run. Parts beyond it, the longest unused first, count as gone."""
 
-MEMORY_GUESS = 200_000
+DEFAULT_MEMORY_TOKENS = 200_000
 """Tokens of memory where nothing is told of it: the least of today's engines
 has 249,000."""
 
-PART_TOKENS_MIN = 256
+MIN_PART_TOKENS = 256
 """Shared parts below this are not kept track of: reading one anew takes as
 long as a step or two."""
 
@@ -45,7 +45,7 @@
     parts: tuple[Part, ...]
 
 
-class Kept:
+class PromptCache:
     """The shared parts that one replica keeps."""
 
     def __init__(self, memory=0):
@@ -54,14 +54,14 @@
         Args:
             memory: Tokens that the replica has memory for; 0 if not told.
         """
-        self._room = KEPT_SHARE * (memory or MEMORY_GUESS)
+        self._room = CACHE_SHARE * (memory or DEFAULT_MEMORY_TOKENS)
         self._parts = collections.OrderedDict()
         self._size = 0
 
-    def used(self, parts):
+    def record_use(self, parts):
         """Notes that a request with these shared parts went there."""
         for name, tokens in parts:
-            if tokens < PART_TOKENS_MIN:
+            if tokens < MIN_PART_TOKENS:
                 continue
             self._size += tokens - self._parts.pop(name, 0)
             self._parts[name] = tokens
@@ -69,7 +69,7 @@
             _, tokens = self._parts.popitem(last=False)
             self._size -= tokens
 
-    def tokens(self, parts):
+    def cached_tokens(self, parts):
         """Returns the tokens of ``parts`` that need not be read there.
 
         Parts too small to be tracked are taken for kept, as long as all before
@@ -77,7 +77,7 @@
         """
         total = 0
         for name, tokens in parts:
-            if tokens >= PART_TOKENS_MIN and name not in self._parts:
+            if tokens >= MIN_PART_TOKENS and name not in self._parts:
                 break
             total += tokens
         return total
--- a/gorsefall/policy/comeback.py
+++ b/gorsefall/policy/retry_delay.py
@@ -6,22 +6,22 @@
 
 import random
 
-SOON_S = (0.05, 0.25)
+SHORT_DELAY_S = (0.05, 0.25)
 """Range after a refusal that is no sign of a queue, s: what refuses is mostly
 one replica or one moment, and a queue of 64 calls of 22 ms on 18 places is
 worked off in 80 ms."""
 
-QUEUE_TIMES = (1.0, 2.0)
+QUEUE_WAIT_FACTORS = (1.0, 2.0)
 """The same after a queue that was too long, in times of the wait in it: about
 then the queue that was seen is worked off."""
 
-QUEUE_MIN_S = 0.25
+MIN_QUEUE_DELAY_S = 0.25
 """Shortest such time, s: a few long prompts are read in it."""
 
 
-def soon_s(rng=random):
+def short_delay_s(rng=random):
     """Returns a time after which what refused is likely to be over, s."""
-    return rng.uniform(*SOON_S)
+    return rng.uniform(*SHORT_DELAY_S)
 
 
 def after_queue_s(wait_s, rng=random):
@@ -31,4 +31,4 @@
         wait_s: Expected wait in it, s.
         rng: Source of the spread.
     """
-    return max(QUEUE_MIN_S, wait_s) * rng.uniform(*QUEUE_TIMES)
+    return max(MIN_QUEUE_DELAY_S, wait_s) * rng.uniform(*QUEUE_WAIT_FACTORS)
--- a/gorsefall/policy/routing.py
+++ b/gorsefall/policy/routing.py
@@ -92,7 +92,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Want:
+class RequestProfile:
     """What routing needs to know of a request.
 
     Attributes:
@@ -103,7 +103,7 @@
     priority: int = 5
 
 
-class Place(enum.IntEnum):
+class StartMode(enum.IntEnum):
     """How a request would start at a replica; lower is better."""
     FREE = 0
     PREEMPTS = 1
@@ -129,7 +129,7 @@
             now: Time, s (monotonic).
             wall: Time, s (epoch), to age load reports.
         """
-        sound = health.sound(replicas, now)
+        sound = health.select_healthy(replicas, now)
         return self.pick(sound, want, wall) if sound else None
 
     def pick(self, sound, want, wall):
@@ -171,10 +171,10 @@
         """
         weight = freshness.weight(wall - rep.reported_at, self.max_age_s)
         load = rep.load(weight)
-        place = Place.FREE
+        place = StartMode.FREE
         if load >= rep.slots:
             load = rep.load(weight, want.priority)
-            place = Place.PREEMPTS if load < rep.slots else Place.WAITS
+            place = StartMode.PREEMPTS if load < rep.slots else StartMode.WAITS
         if median_gap_s > 0 and rep.gap_s > SLOW_RATIO * median_gap_s:
             load = (load + 1) * rep.gap_s / median_gap_s
         return place, load
--- a/gorsefall/policy/shutdown.py
+++ b/gorsefall/policy/shutdown.py
@@ -17,7 +17,7 @@
         self._late_at = math.inf
 
     @property
-    def begun(self):
+    def has_begun(self):
         """Whether the process is to end."""
         return self._late_at < math.inf
 
@@ -32,20 +32,21 @@
         Returns:
             False when it had begun before; later signals change nothing.
         """
-        if self.begun:
+        if self.has_begun:
             return False
         self._refuse_at = now + lame_duck_s
         self._late_at = now + limit_s
         return True
 
-    def takes(self, now):
+    def accepts_requests(self, now):
         """Whether new requests are taken."""
         return now < self._refuse_at
 
-    def late(self, now):
+    def is_overdue(self, now):
         """Whether what still runs must end now."""
         return now >= self._late_at
 
-    def over(self, now, busy):
+    def is_finished(self, now, busy):
         """Whether the process may end; ``busy`` while any answer is due."""
-        return not self.takes(now) and (not busy or self.late(now))
+        return not self.accepts_requests(now) and (not busy or
+                                                   self.is_overdue(now))
--- a/gorsefall/policy/share.py
+++ b/gorsefall/policy/traffic_share.py
@@ -5,19 +5,19 @@
 may say how many they have.
 """
 
-DOUBT = 100.0
+PRIOR_REQUESTS = 100.0
 """Requests of nobody that are counted beside those seen, so that who has seen
 little takes its part for small: on the smallest of our load sheets as many are
 seen in 2 s. With a first guess of 1/12 instead, 80 entries took four times what
 they carry in their first 6 s."""
 
-MEMORY = 20000.0
+MAX_COUNTED_REQUESTS = 20000.0
 """Requests seen after which old and new are halved, so that the part follows
 entries that come and go; on the same sheet that is after six minutes, with 80
 entries after one."""
 
 
-class Share:
+class TrafficShare:
     """The part of one entry."""
 
     def __init__(self):
@@ -27,9 +27,9 @@
     @property
     def value(self):
         """The part, 0.0 to 1.0."""
-        return min(1.0, self._own / (self._all + DOUBT))
+        return min(1.0, self._own / (self._all + PRIOR_REQUESTS))
 
-    def seen(self, own, there, replicas):
+    def record_sample(self, own, there, replicas):
         """Notes what is under way at a service as a replica answers.
 
         The answered request tells nothing, as it is there in any case: an
@@ -46,6 +46,6 @@
         """
         self._all += max(0, there - 1) * replicas
         self._own += max(0, own - 1)
-        if self._all > MEMORY:
+        if self._all > MAX_COUNTED_REQUESTS:
             self._all /= 2
             self._own /= 2
--- a/gorsefall/policy/unseen.py
+++ b/gorsefall/policy/unreported.py
@@ -10,10 +10,10 @@
 SMOOTHING = 0.1
 """How fast the share of the requests that write follows: over about ten."""
 
-SHARE_GUESS = 0.3
+INITIAL_DECODE_HEAVY_SHARE = 0.3
 """First guess of that share."""
 
-MOST = 64
+MAX_SIMULATED = 64
 """Most requests that are placed in mind: each takes 10 us, and more than two
 for each of today's engines hardly changes where the next one goes."""
 
@@ -29,7 +29,7 @@
     age_s: float = 0.0
 
 
-class Unseen:
+class Unreported:
     """Estimates the requests of one service that are under way unseen.
 
     Attributes:
@@ -38,13 +38,13 @@
 
     def __init__(self):
         self.arrivals = Arrivals()
-        self._writing_share = SHARE_GUESS
+        self._writing_share = INITIAL_DECODE_HEAVY_SHARE
 
-    def noted(self, writes):
+    def record_request(self, writes):
         """Notes an own request; the others' are taken to be of its kind."""
         self._writing_share += SMOOTHING * (writes - self._writing_share)
 
-    def writing(self):
+    def decode_heavy(self):
         """Returns how many of those that write are unseen."""
         expected = self.arrivals.per_s * self.arrivals.age_s
         return expected * self._writing_share
--- a/gorsefall/relay/announcing.py
+++ b/gorsefall/relay/announcing.py
@@ -3,7 +3,7 @@
 import typing
 
 from gorsefall import logs
-from gorsefall.policy import announced
+from gorsefall.policy import announced_limits
 from gorsefall.policy import membership
 
 TOLD_S = 6.0
@@ -19,7 +19,7 @@
 
 
 class Announcing:
-    """The ``announced.Announced`` of all replicas of a fleet."""
+    """The ``announced_limits.AnnouncedLimit`` of all replicas of a fleet."""
 
     def __init__(self, loop, fleet, members):
         """Creates it.
@@ -53,11 +53,11 @@
         own = _Sender(self._members.name)
         others = [
             _Sender(status.name)
-            for _, status in self._members.spoken(self._loop.now)
+            for _, status in self._members.live_statuses(self._loop.now)
         ]
-        found = announced.senders(replica.record.id, [own, *others],
-                                  limit.per_s)
-        limit.part = 1 / len(found) if own in found else 0.0
+        found = announced_limits.senders(replica.record.id, [own, *others],
+                                         limit.per_s)
+        limit.share = 1 / len(found) if own in found else 0.0
 
     def answered(self, replica, per_s):
         """Notes what an answer of a ``fleet.Replica`` said.
@@ -70,7 +70,7 @@
 
     def _heard(self, replica, per_s, at):
         before = replica.limit.per_s
-        if not replica.limit.heard(per_s, at):
+        if not replica.limit.update(per_s, at):
             return
         self._announced[replica.record.id] = replica
         self._set_part(replica)
@@ -78,21 +78,23 @@
                        replica=replica.record.id,
                        per_s=per_s,
                        before=before,
-                       part=round(replica.limit.part, 3))
+                       part=round(replica.limit.share, 3))
 
     def told(self, now):
-        """Returns the ``membership.Limit`` objects that a status tells."""
+        """Returns the ``membership.LimitReport`` objects for a status."""
         return tuple(
-            membership.Limit(name, replica.record.born,
-                             int((now - replica.limit.heard_at) *
-                                 1000), replica.limit.per_s)
+            membership.LimitReport(
+                name, replica.record.born,
+                int((now - replica.limit.announced_at) *
+                    1000), replica.limit.per_s)
             for name, replica in self._announced.items()
-            if now - replica.limit.heard_at < TOLD_S)
+            if now - replica.limit.announced_at < TOLD_S)
 
     def heard(self, status):
         """Takes in what the ``membership.Status`` of another entry tells."""
-        for limit in status.limits:
+        for limit in status.limit_reports:
             replica = self._fleet.replicas.get(limit.replica)
-            if replica is not None and replica.record.born == limit.born:
+            if (replica is not None and
+                    replica.record.born == limit.started_at_ms):
                 self._heard(replica, limit.per_s,
                             self._loop.now - limit.age_ms / 1000)
--- a/gorsefall/relay/copies.py
+++ b/gorsefall/relay/copies.py
@@ -36,8 +36,8 @@
         Returns:
             Its ``(host, port)``, or None when there is none.
         """
-        target = placement.backup([r.target for r in candidates], request,
-                                  time.monotonic())
+        target = placement.choose_backup([r.target for r in candidates],
+                                         request, time.monotonic())
         if target is None:
             self._holder = None
             return None
--- a/gorsefall/relay/crashes.py
+++ b/gorsefall/relay/crashes.py
@@ -43,14 +43,14 @@
     again: bool = False
 
     def weight(self, now):
-        """Returns the ``suspects.Weight`` of a crash that cut it now."""
-        if self.again and now - self.sent_at < suspects.TOGETHER_S:
+        """Returns the ``suspects.CrashWeight`` of a crash that cut it now."""
+        if self.again and now - self.sent_at < suspects.COMMON_CAUSE_S:
             # It was sent here as its last replica ended; one cause may have
             # taken both.
-            return suspects.Weight.OLD
-        if self.first_at is None or now - self.first_at < suspects.YOUNG_S:
-            return suspects.Weight.YOUNG
-        return suspects.Weight.OLD
+            return suspects.CrashWeight.OLD
+        if self.first_at is None or now - self.first_at < suspects.YOUNG_RUN_S:
+            return suspects.CrashWeight.YOUNG
+        return suspects.CrashWeight.OLD
 
 
 class Crashes:
@@ -96,7 +96,7 @@
     # -- before a send ---------------------------------------------------------
 
     def _check(self, digest):
-        if self.suspects.blocked(digest, self._clock()):
+        if self.suspects.is_blocked(digest, self._clock()):
             metrics.CRASHING.labels('refused').inc()
             ended = self.suspects.crashes(digest)
             raise errors.CrashesReplicasError(
@@ -114,7 +114,7 @@
             errors.CrashesReplicasError: It is known to crash replicas.
         """
         self._check(digest)
-        if not self.suspects.held(digest):
+        if not self.suspects.must_serialize(digest):
             return True
         runs = self._under_way.setdefault(digest, exchange)
         if runs is exchange:
@@ -170,10 +170,10 @@
     def _crashed(self, record, run, now):
         digest, weight = run.digest, run.weight(now)
         crash = suspects.Crash(record.id, record.born)
-        before = self.suspects.blocked(digest, now)
-        if not self.suspects.crashed(digest, crash, weight, now):
+        before = self.suspects.is_blocked(digest, now)
+        if not self.suspects.record_crash(digest, crash, weight, now):
             return
-        blocked = self.suspects.blocked(digest, now)
+        blocked = self.suspects.is_blocked(digest, now)
         metrics.CRASHING.labels('seen').inc()
         self._log.info('crash_under_request',
                        digest=digests.shown(digest),
@@ -182,7 +182,7 @@
                        total=self.suspects.weight(digest),
                        blocked=blocked)
         self._told.append((now, digest, crash))
-        if self.suspects.held(digest):
+        if self.suspects.must_serialize(digest):
             self._tell_all(digest)
         if blocked and not before:
             self._note_blamed(digest)
@@ -201,8 +201,8 @@
         if not self.suspects.weight(digest):
             return
         now = self._clock()
-        blamed = digest in self.suspects.blamed
-        if self.suspects.ran(digest, now):
+        blamed = digest in self.suspects.poison_requests
+        if self.suspects.record_completion(digest, now):
             metrics.CRASHING.labels('cleared').inc()
             self._log.info('request_cleared', digest=digests.shown(digest))
             self._told.append((now, digest, None))
@@ -212,7 +212,7 @@
     # -- what others see -------------------------------------------------------
 
     def told(self, now):
-        """Returns the ``membership.Sighting`` objects that a status tells."""
+        """Returns the ``membership.RunReport`` objects that a status tells."""
         while self._told and self._told[0][0] < now - TOLD_S:
             self._told.popleft()
         return tuple(
@@ -220,21 +220,23 @@
             if (found := self._sighting(digest, crash, now)) is not None)
 
     def _sighting(self, digest, crash, now):
-        suspect = self.suspects.known(digest)
+        suspect = self.suspects.find(digest)
         if suspect is None:
             return None
         if crash is None:
-            return membership.Sighting(digest, _age_ms(suspect.ran_at, now))
-        seen = suspect.sightings.get(crash)
+            return membership.RunReport(digest,
+                                        _age_ms(suspect.last_completed_at, now))
+        seen = suspect.crashes.get(crash)
         if seen is None:
             return None
-        return membership.Sighting(digest, _age_ms(seen.at, now), crash.replica,
-                                   crash.born, int(seen.weight))
+        return membership.RunReport(digest, _age_ms(seen.seen_at, now),
+                                    crash.replica, crash.started_at_ms,
+                                    int(seen.weight))
 
     def sightings(self, digest):
-        """Returns the ``membership.Sighting`` objects of a suspect, a list."""
+        """Returns the ``membership.RunReport`` objects of a suspect, a list."""
         now = self._clock()
-        crashes = self.suspects.known(digest).sightings
+        crashes = self.suspects.find(digest).crashes
         return [self._sighting(digest, crash, now) for crash in crashes]
 
     def _tell_all(self, digest):
@@ -244,8 +246,8 @@
 
     def heard(self, status, host):
         """Takes in what the ``membership.Status`` of another entry tells."""
-        self.take(status.sightings)
-        if status.suspects != self.suspects.summary:
+        self.take(status.run_reports)
+        if status.suspects_summary != self.suspects.summary:
             self._ask(host)
 
     def _ask(self, host):
@@ -258,7 +260,7 @@
 
     def asked(self, host):
         """Answers another entry that asks what is known."""
-        grave = sorted(self.suspects.grave(),
+        grave = sorted(self.suspects.reportable(),
                        key=self.suspects.weight,
                        reverse=True)
         found = []
@@ -267,19 +269,20 @@
         self._peers.send(messages.Suspects(tuple(found[:2 * MAX_TOLD])), host)
 
     def take(self, sightings):
-        """Takes in ``membership.Sighting`` objects of others."""
+        """Takes in ``membership.RunReport`` objects of others."""
         now = self._clock()
-        before = set(self.suspects.blamed)
+        before = set(self.suspects.poison_requests)
         for seen in sightings[:4 * MAX_TOLD]:
             at = now - seen.age_ms / 1000
             if seen.replica:
-                self.suspects.crashed(seen.digest,
-                                      suspects.Crash(seen.replica, seen.born),
-                                      suspects.Weight(seen.weight), at)
+                self.suspects.record_crash(
+                    seen.digest, suspects.Crash(seen.replica,
+                                                seen.started_at_ms),
+                    suspects.CrashWeight(seen.weight), at)
             else:
-                self.suspects.ran(seen.digest, at)
+                self.suspects.record_completion(seen.digest, at)
         own = {digest for _, digest, crash in self._told if crash is not None}
-        for digest in set(self.suspects.blamed) - before:
+        for digest in set(self.suspects.poison_requests) - before:
             self._note_blamed(digest)
             if digest in own:
                 self.on_blamed(digest)
--- a/gorsefall/relay/ending.py
+++ b/gorsefall/relay/ending.py
@@ -36,7 +36,7 @@
                       kind=route.kind.value if route else None,
                       account=account,
                       digest=digests.shown(exchange.digest or b''),
-                      attempts=exchange.attempts.names,
+                      attempts=exchange.attempts.replicas,
                       first_ms=_since_ms(exchange, exchange.first_at),
                       ms=_since_ms(exchange, now),
                       pause_ms=round(pause_s * 1000, 1),
--- a/gorsefall/relay/exchange.py
+++ b/gorsefall/relay/exchange.py
@@ -8,8 +8,8 @@
 from gorsefall import serving
 from gorsefall.net import outbound
 from gorsefall.policy import attempts
-from gorsefall.policy import comeback
-from gorsefall.policy import patience
+from gorsefall.policy import retry_delay
+from gorsefall.policy import attempt_timeouts
 from gorsefall.policy import placement
 from gorsefall.relay import copies
 from gorsefall.relay import crashes
@@ -72,19 +72,19 @@
     @property
     def terms(self):
         """See ``serving.Serving``."""
-        return attempts.Terms(repeatable=not self._grant.once,
-                              most=self._grant.route.max_attempts)
+        return attempts.RetryTerms(repeatable=not self._grant.once,
+                                   max_attempts=self._grant.route.max_attempts)
 
     def _budget(self):
         """Returns the ``budget.Budget`` that its retries are taken from."""
         return self.node.budget(self._grant.service)
 
     def _patience(self):
-        """Returns the ``patience.Patience`` with its service's answers."""
+        """Returns its service's ``attempt_timeouts.StartLatency``."""
         return self.node.patience(self._grant.service, self._grant.route.kind)
 
     def _speed(self):
-        """Returns the ``pace.Pace`` of its service's replicas."""
+        """Returns the ``pace.ServiceSpeed`` of its service's replicas."""
         return self.node.work.service(self._grant.service).speed
 
     def _time_left(self):
@@ -95,7 +95,7 @@
         return (bool(
             self.node.fleet.candidates(self._grant.service,
                                        self.attempts.tried)) and
-                self._budget().take(time.monotonic()))
+                self._budget().acquire(time.monotonic()))
 
     # -- sending ---------------------------------------------------------------
 
@@ -107,38 +107,38 @@
             self._grant.renew()
         if not self.node.crashes.begin(self.digest, self):
             return
-        choice = self._grant.place(self.attempts.tried,
-                                   refuse=not self.attempts.names,
-                                   emptiest=self.node.crashes.suspects.held(
-                                       self.digest))
+        choice = self._grant.place(
+            self.attempts.tried,
+            refuse=not self.attempts.replicas,
+            emptiest=self.node.crashes.suspects.must_serialize(self.digest))
         if choice is None:
             raise errors.NoReplicaError(
                 f'no replica of {self._grant.service} is left',
-                retry_after=comeback.soon_s())
+                retry_after=retry_delay.short_delay_s())
         self._send(self.node.fleet.replicas[choice.target.name], choice)
 
     def _send(self, replica, choice, *, from_copy=False):
         now = time.monotonic()
-        if not self.attempts.names:
-            self._budget().first(now)
-        self.attempts.sent(replica.record.id)
-        replica.limit.sent(now)
+        if not self.attempts.replicas:
+            self._budget().record_first_attempt(now)
+        self.attempts.record_sent(replica.record.id)
+        replica.limit.record_sent(now)
         order = self._grant.order(
             replica.record,
             time_left_s=self._time_left(),
             backup=None if from_copy else self._order_copy(replica),
             from_copy=from_copy,
             resume_after=self._delivery.last_id,
-            source=choice.source)
+            source=choice.fetch_source)
         if self.req.prompt is not None:
             self.node.work.prompt_sent(replica, self.req.prompt.shared)
         self._attempt = sending.Attempt(self,
                                         replica,
                                         order,
                                         choice,
-                                        writes=self._grant.want.writes)
+                                        writes=self._grant.want.decode_heavy)
         self._attempt.channel = replica.pool.send(self._attempt)
-        self._attempt.log_sent(self._grant.service, len(self.attempts.names))
+        self._attempt.log_sent(self._grant.service, len(self.attempts.replicas))
         self._watch_attempt()
 
     def _order_copy(self, replica):
@@ -150,11 +150,11 @@
         return self._copy.order(others, self.req.id)
 
     def _watch_attempt(self):
-        if self.attempts.may_repeat(self.terms):
+        if self.attempts.may_run_concurrently(self.terms):
             self._set_attempt_timer(
-                patience.attempt_s(self._patience(),
-                                   self._time_left(),
-                                   streams=self._grant.streams))
+                attempt_timeouts.attempt_s(self._patience(),
+                                           self._time_left(),
+                                           streams=self._grant.streams))
 
     def _set_attempt_timer(self, wait_s):
         if self._attempt_timer is not None:
@@ -184,13 +184,13 @@
 
     def _repeatable_elsewhere(self):
         """Whether another replica may be asked, and there is one."""
-        return (self.attempts.may_repeat(self.terms) and
-                self._budget().room(time.monotonic()) >= 1 and bool(
+        return (self.attempts.may_run_concurrently(self.terms) and
+                self._budget().available(time.monotonic()) >= 1 and bool(
                     self.node.work.targets(self._grant.service,
                                            self.attempts.tried)))
 
     def _note_wait(self, attempt):
-        self._patience().began(time.monotonic() - attempt.began)
+        self._patience().record(time.monotonic() - attempt.began)
 
     # -- what a replica answers ------------------------------------------------
 
@@ -223,9 +223,9 @@
             return
         attempt.events_came(self._delivery.whole_events)
         if self._restorable():
-            self._set_attempt_timer(patience.COPY_GAP_S)
-        elif self.attempts.may_repeat(self.terms):
-            self._set_attempt_timer(patience.STREAM_GAP_S)
+            self._set_attempt_timer(attempt_timeouts.BACKUP_GAP_S)
+        elif self.attempts.may_run_concurrently(self.terms):
+            self._set_attempt_timer(attempt_timeouts.STREAM_GAP_S)
         if not self._delivery.pass_on(data):
             attempt.pause()
 
@@ -241,7 +241,7 @@
             self._refused(attempt, answer)
             return
         health = attempt.replica.target
-        health.succeeded()
+        health.record_success()
         attempt.replica.ended_at = None
         self.node.crashes.ran(self.digest)
         attempt.note_end(self._speed())
@@ -249,7 +249,7 @@
             attempt.replica, answer.status < INTERNAL or
             answer.status == TIME_UP)
         if answer.success and not answer.genuine:
-            health.failed(time.monotonic())
+            health.record_failure(time.monotonic())
             self._again_or_unknown('its answer is not its own')
         elif self._delivery.streaming:
             self._delivery.end()
@@ -264,7 +264,7 @@
                        Outcome.REPLICA_FAILED)
 
     def _refused(self, attempt, answer):
-        self.attempts.refused()
+        self.attempts.record_refusal()
         if answer.misdirected:
             self.node.fleet.replaced(attempt.replica.record.id)
         self.log.info('not_run',
@@ -274,26 +274,26 @@
         self.again_or(
             errors.ReplicaRefusedError(
                 f'the replica refused it ({answer.status})',
-                retry_after=comeback.soon_s()), 'not run')
+                retry_after=retry_delay.short_delay_s()), 'not run')
 
     def attempt_failed(self, attempt, failure):
         """Called when an attempt ended without a whole answer."""
         self._close_attempt(attempt)
         now = time.monotonic()
-        attempt.replica.target.failed(now)
+        attempt.replica.target.record_failure(now)
         self.log.info('attempt_failed',
                       replica=attempt.replica.record.id,
                       reason=failure.reason,
                       sent=failure.sent,
                       after_ms=round((now - attempt.began) * 1000, 1))
         if not failure.sent:
-            self.attempts.not_reached()
+            self.attempts.record_unreached()
             self.restart()
         elif failure.broke:
             run = crashes.Run(self.digest,
                               attempt.began,
                               attempt.first_at,
-                              again=len(self.attempts.names) > 1)
+                              again=len(self.attempts.replicas) > 1)
             self.node.crashes.broke(
                 attempt.replica, run,
                 lambda: self._after_failure(attempt, failure.reason))
@@ -303,15 +303,15 @@
     def _after_failure(self, attempt, reason):
         if self.done:
             return
-        if self.node.crashes.suspects.held(self.digest):
-            self.fail(self.attempts.unknown(reason))
+        if self.node.crashes.suspects.must_serialize(self.digest):
+            self.fail(self.attempts.outcome_unknown_error(reason))
         elif self._restorable():
             self._look_after(attempt, reason)
         else:
             self._again_or_unknown(reason)
 
     def _again_or_unknown(self, reason):
-        self.again_or(self.attempts.unknown(reason), reason)
+        self.again_or(self.attempts.outcome_unknown_error(reason), reason)
 
     def discard(self):
         """See ``serving.Serving``."""
@@ -332,7 +332,7 @@
             elif broken:
                 self._again_or_unknown(broken)
             else:
-                self._set_attempt_timer(patience.COPY_GAP_S)
+                self._set_attempt_timer(attempt_timeouts.BACKUP_GAP_S)
 
         self._copy.look(attempt.replica, looked)
 
@@ -341,11 +341,11 @@
         if self._attempt is not None:
             attempt.channel.cancel()
             self._close_attempt(attempt)
-            attempt.replica.target.failed(time.monotonic())
+            attempt.replica.target.record_failure(time.monotonic())
         replica = self._copy.take()
-        if (replica is None or not self._budget().take(time.monotonic())):
+        if (replica is None or not self._budget().acquire(time.monotonic())):
             self.fail(
-                self.attempts.unknown(
+                self.attempts.outcome_unknown_error(
                     'its replica is gone, and no copy is left'))
             return
         self.log.info('restored',
@@ -355,12 +355,13 @@
         try:
             self._grant.renew()
             if not self.node.crashes.begin(self.digest, self):
-                raise self.attempts.unknown('another run of it is under way')
+                raise self.attempts.outcome_unknown_error(
+                    'another run of it is under way')
             self._send(replica,
                        placement.Choice(replica.target),
                        from_copy=True)
         except errors.GorsefallError as exc:
-            self.fail(self.attempts.honest(exc, str(exc), self.terms))
+            self.fail(self.attempts.reportable_error(exc, str(exc), self.terms))
 
     # -- endings ---------------------------------------------------------------
 
@@ -376,20 +377,21 @@
         else:
             self.fail(
                 errors.DeadlineError('could not be sent in time',
-                                     retry_after=comeback.soon_s()))
+                                     retry_after=retry_delay.short_delay_s()))
 
     def cut(self):
         """Ends the exchange because the process ends."""
         self._drop_attempt()
         why = 'the entry is shutting down'
         self.fail(
-            self.attempts.honest(errors.DrainingError(why), why, self.terms))
+            self.attempts.reportable_error(errors.DrainingError(why), why,
+                                           self.terms))
 
     def _drop_attempt(self):
         attempt = self._attempt
         if attempt is not None:
             if not attempt.channel.cancel():
-                self.attempts.withdrawn()
+                self.attempts.record_withdrawal()
             self._close_attempt(attempt)
 
     def _close_attempt(self, attempt):
--- a/gorsefall/relay/fleet.py
+++ b/gorsefall/relay/fleet.py
@@ -6,7 +6,7 @@
 from gorsefall import directory
 from gorsefall import logs
 from gorsefall.net import outbound
-from gorsefall.policy import announced
+from gorsefall.policy import announced_limits
 from gorsefall.policy import knowledge
 from gorsefall.policy import membership
 from gorsefall.policy import prompts
@@ -41,12 +41,12 @@
 
     Attributes:
         record: Its newest ``model.ReplicaRecord``.
-        target: Its ``knowledge.Target``.
+        target: Its ``knowledge.ReplicaView``.
         pool: Its ``outbound.Pool``.
         doubtful: Its record lapsed while the store was away: it may have
             left, or may just not have been able to write.
         spoilt: Its newest record cannot be read: nothing is known of it.
-        limit: The ``announced.Announced`` that it takes.
+        limit: The ``announced_limits.AnnouncedLimit`` that it takes.
         ended_at: When it was found to have crashed, s (monotonic); None while
             it is believed to run.
     """
@@ -57,12 +57,13 @@
         self.doubtful = False
         self.spoilt = False
         self.ended_at = None
-        self.limit = announced.Announced()
-        self.target = knowledge.Target(name=record.id,
-                                       zone=record.zone,
-                                       slots=record.slots,
-                                       engine=service.engine,
-                                       kept=prompts.Kept(service.memory))
+        self.limit = announced_limits.AnnouncedLimit()
+        self.target = knowledge.ReplicaView(name=record.id,
+                                            zone=record.zone,
+                                            slots=record.slots,
+                                            engine=service.engine,
+                                            prompt_cache=prompts.PromptCache(
+                                                service.memory))
         cap = max(2, int(service.max_connections * CONNECTION_SHARE))
         self.pool = outbound.Pool(loop,
                                   record.addr,
@@ -85,16 +86,16 @@
 
         def prompt_read():
             if unread:
-                self.target.began(unread.pop())
+                self.target.record_prefilled(unread.pop())
                 self._changed()
 
-        self.target.sent(tokens, writes=writes)
+        self.target.record_sent(tokens, decode_heavy=writes)
         self._changed()
         try:
             yield prompt_read
         finally:
             prompt_read()
-            self.target.ended(writes=writes)
+            self.target.record_end(decode_heavy=writes)
             self._changed()
 
 
@@ -206,22 +207,22 @@
             self._log.info('replica_ended', replica=replica.record.id)
 
     def ended_of_late(self, now):
-        """Returns the ``membership.Ended`` objects that a status tells."""
+        """Returns the ``membership.ReplicaExit`` objects for a status."""
         self._ended = {
             name: rep
             for name, rep in self._ended.items()
             if rep.ended_at is not None and now - rep.ended_at < TOLD_S
         }
         return tuple(
-            membership.Ended(name, rep.record.born,
-                             max(0, int((now - rep.ended_at) * 1000)))
+            membership.ReplicaExit(name, rep.record.born,
+                                   max(0, int((now - rep.ended_at) * 1000)))
             for name, rep in list(self._ended.items())[:MAX_TOLD])
 
     def heard(self, status, now):
         """Takes in what the ``membership.Status`` of another entry tells."""
-        for end in status.ended:
+        for end in status.replica_exits:
             rep = self.replicas.get(end.replica)
-            if rep is not None and rep.record.born == end.born:
+            if rep is not None and rep.record.born == end.started_at_ms:
                 self.ended(rep, now - end.age_ms / 1000)
 
     def replaced(self, replica_id):
--- a/gorsefall/relay/following.py
+++ b/gorsefall/relay/following.py
@@ -69,10 +69,10 @@
 
     def _candidates(self):
         """Returns the other entries that are heard."""
-        heard = self._node.work.view.members.spoken(self._node.loop.now)
+        heard = self._node.work.view.members.live_statuses(self._node.loop.now)
         return [
-            readers.Candidate(status.name, host, status.zone, status.reads)
-            for host, status in heard
+            readers.Candidate(status.name, host, status.zone,
+                              status.can_read_store) for host, status in heard
         ]
 
     def _follow(self):
--- a/gorsefall/relay/grant.py
+++ b/gorsefall/relay/grant.py
@@ -5,7 +5,7 @@
 from gorsefall import directory
 from gorsefall import errors
 from gorsefall import metrics
-from gorsefall.policy import comeback
+from gorsefall.policy import retry_delay
 from gorsefall.policy import knowledge
 from gorsefall.policy import overload
 from gorsefall.policy import placement
@@ -21,7 +21,8 @@
         account: The ``model.Account``; None on public routes.
         service: Name of the service it goes to.
         once: Whether any route it had forbids a second run.
-        want: The ``knowledge.Want`` that its last place was chosen for.
+        want: The ``knowledge.RequestProfile`` that its last place was
+            chosen for.
     """
 
     def __init__(self, node, req):
@@ -31,7 +32,7 @@
         self.account = None
         self.service = None
         self.once = False
-        self.want = knowledge.Want(zone=node.cfg.zone)
+        self.want = knowledge.RequestProfile(zone=node.cfg.zone)
 
     def renew(self):
         """Finds route and account in the configuration in force now.
@@ -48,7 +49,7 @@
             self.service = routes.pick_service(route)
             self.once = self.once or not route.repeatable
         account = table.account(self._req, route)
-        if account is not None and not self._node.proof.valid():
+        if account is not None and not self._node.proof.is_current():
             self._unproven(table)
         self.account = account
 
@@ -62,7 +63,7 @@
             raise errors.UnprovenError(
                 f'configuration {table.version} was last confirmed '
                 f'{self._node.proof.age_s():.2f} s ago',
-                retry_after=comeback.soon_s())
+                retry_after=retry_delay.short_delay_s())
         metrics.UNPROVEN.inc()
 
     @property
@@ -81,26 +82,26 @@
         return self._node.table.urgency(self.account, self.route)
 
     def _see(self):
-        """Returns its ``knowledge.Want`` on the terms granted now."""
+        """Returns its ``knowledge.RequestProfile`` on the terms granted now."""
         zone = self._node.cfg.zone
         prompt = self._req.prompt
         if prompt is None:
-            return knowledge.Want(zone=zone)
+            return knowledge.RequestProfile(zone=zone)
         ranks = self._node.work.ranks(self.service)
-        return knowledge.Want(zone=zone,
-                              parts=prompt.shared,
-                              tokens=prompt.tokens_in,
-                              tokens_out=prompt.tokens_out,
-                              limit_ms=ranks.limit_ms(self.rank,
-                                                      self._target_ms),
-                              gap_ms=self.route.gap_s * 1000)
+        return knowledge.RequestProfile(zone=zone,
+                                        parts=prompt.shared,
+                                        tokens=prompt.tokens_in,
+                                        tokens_out=prompt.tokens_out,
+                                        queue_limit_ms=ranks.queue_limit_ms(
+                                            self.rank, self._target_ms),
+                                        gap_ms=self.route.gap_s * 1000)
 
     @property
     def copied(self):
         """Whether another replica had better copy its run as it grows."""
         service = self._node.table.services.get(self.service)
         return (service is not None and service.backups and self.streams and
-                self.want.writes)
+                self.want.decode_heavy)
 
     @property
     def _target_ms(self):
@@ -108,7 +109,8 @@
 
     def asked(self):
         """Notes the request among those for its service."""
-        self._node.work.ranks(self.service).asked(self.rank, self._target_ms)
+        self._node.work.ranks(self.service).record_request(
+            self.rank, self._target_ms)
 
     def order(self, record, *, time_left_s, backup, from_copy, resume_after,
               source):
@@ -120,7 +122,7 @@
             backup: Address of the replica that copies the run, or None.
             from_copy: Whether it goes on from a copy that it keeps.
             resume_after: Id of the last event delivered, or None.
-            source: The ``knowledge.Target`` to fetch cached parts from, or
+            source: The ``knowledge.ReplicaView`` to fetch cached parts from, or
                 None.
         """
         return model.Order(replica=record.id,
@@ -149,10 +151,10 @@
         """
         work = self._node.work
         self.want = self._see()
-        urgent = work.ranks(self.service).leads(self.rank)
+        urgent = work.ranks(self.service).is_most_urgent(self.rank)
         targets = work.targets(self.service, tried, urgent=urgent)
         if emptiest:
-            targets = placement.emptiest(targets)
+            targets = placement.with_fewest_requests(targets)
         choice = placement.choose(targets,
                                   self.want,
                                   work.service(self.service),
@@ -166,8 +168,8 @@
         return choice
 
     def _refuse_late(self, choice):
-        limit_ms = self.want.limit_ms
-        wait_s = overload.refuse_for_s(choice, limit_ms)
+        limit_ms = self.want.queue_limit_ms
+        wait_s = overload.retry_after_s(choice, limit_ms)
         if wait_s is not None:
             raise errors.ShedError(
                 f'{choice.queue_ms:.0f} ms of work wait at '
--- a/gorsefall/relay/messages.py
+++ b/gorsefall/relay/messages.py
@@ -52,9 +52,9 @@
     """Tells of requests under which replicas crashed.
 
     Attributes:
-        sightings: The ``membership.Sighting`` objects.
+        sightings: The ``membership.RunReport`` objects.
     """
-    sightings: tuple[membership.Sighting, ...] = ()
+    sightings: tuple[membership.RunReport, ...] = ()
 
 
 class AskSuspects(msgspec.Struct,
--- a/gorsefall/relay/node.py
+++ b/gorsefall/relay/node.py
@@ -12,8 +12,8 @@
 from gorsefall.net import tcp
 from gorsefall.policy import budget
 from gorsefall.policy import freshness
-from gorsefall.policy import patience
-from gorsefall.policy import share
+from gorsefall.policy import attempt_timeouts
+from gorsefall.policy import traffic_share
 from gorsefall.relay import announcing
 from gorsefall.relay import crashes
 from gorsefall.relay import ends
@@ -54,13 +54,13 @@
         dialect: The ``dialect.Dialect`` of the wire.
         loop: The ``reactor.Reactor``.
         table: The ``routes.Table`` in force; None before the first.
-        proof: The ``freshness.Proof`` of the table.
+        proof: The ``freshness.Confirmation`` of the table.
         fleet: The ``fleet.Fleet``.
         ends: The ``ends.Ends`` of its replicas.
         crashes: The ``crashes.Crashes`` of requests there.
         work: The ``workload.Workload`` at its replicas.
         announcing: The ``announcing.Announcing`` of its replicas' limits.
-        share: The ``share.Share`` of the traffic that comes here.
+        share: The ``traffic_share.TrafficShare`` of this entry.
         replicas_known: Whether the replicas were listed once.
     """
     channel = 'node'
@@ -81,7 +81,8 @@
         self.dialect = adapter.dialect
         self.loop = reactor.Reactor().register(self)
         self.table = None
-        self.proof = freshness.Proof(self.cfg.revoke_s - pacing.PROOF_MARGIN_S)
+        self.proof = freshness.Confirmation(self.cfg.revoke_s -
+                                            pacing.PROOF_MARGIN_S)
         self.fleet = fleet.Fleet(self.loop, self._work_changed)
         self.ends = ends.Ends(self.loop)
         self.crashes = crashes.Crashes(self.loop, self.ends, self.fleet)
@@ -92,7 +93,7 @@
         self._peers = None
         self.replicas_known = False
         self._proven = False
-        self.share = share.Share()
+        self.share = traffic_share.TrafficShare()
         self._budgets = {}
         self._patience = {}
         self._reads = following.Following(self, adapter)
@@ -163,7 +164,7 @@
 
     def confirmed(self, sent_at):
         """Notes that the configuration was confirmed."""
-        self.proof.confirmed(sent_at)
+        self.proof.record_read(sent_at)
         if not self._proven:
             self._proven = True
             self.log.info('proof_regained', age_s=self.proof.logged_age_s())
@@ -196,32 +197,36 @@
     def status(self, boot, seq, hosts):
         """Returns the ``membership.Status`` to tell the other entries."""
         firsts = {
-            service: known.firsts(self.loop.now)
+            service: known.first_attempts(self.loop.now)
             for service, known in self._budgets.items()
         }
-        return self.work.status(boot,
-                                seq,
-                                hosts,
-                                firsts=firsts,
-                                zone=self.cfg.zone,
-                                reads=self._reads.able and not self.draining,
-                                sightings=self.crashes.told(self.loop.now),
-                                suspects=self.crashes.suspects.summary,
-                                limits=self.announcing.told(self.loop.now),
-                                ended=self.fleet.ended_of_late(self.loop.now))
+        return self.work.status(
+            boot,
+            seq,
+            hosts,
+            first_attempts=firsts,
+            zone=self.cfg.zone,
+            can_read_store=self._reads.able and not self.draining,
+            run_reports=self.crashes.told(self.loop.now),
+            suspects_summary=self.crashes.suspects.summary,
+            limit_reports=self.announcing.told(self.loop.now),
+            replica_exits=self.fleet.ended_of_late(self.loop.now))
 
     def load_told(self, replica, load):
         """Notes the ``model.Load`` that a replica told with an answer."""
         replicas = self.fleet.of(replica.record.service)
-        self.share.seen(own=sum(r.target.outstanding for r in replicas),
-                        there=load.running + load.waiting,
-                        replicas=len(replicas))
+        self.share.record_sample(own=sum(
+            r.target.outstanding for r in replicas),
+                                 there=load.running + load.waiting,
+                                 replicas=len(replicas))
         if self.work.view.members.alone:
-            replica.target.report(load.running, load.waiting, self.loop.now)
+            replica.target.record_load(load.running, load.waiting,
+                                       self.loop.now)
 
     def patience(self, service, kind):
-        """Returns the ``patience.Patience`` of a service and kind."""
-        return self._patience.setdefault((service, kind), patience.Patience())
+        """Returns a service's and kind's ``attempt_timeouts.StartLatency``."""
+        return self._patience.setdefault((service, kind),
+                                         attempt_timeouts.StartLatency())
 
     # -- requests --------------------------------------------------------------
 
@@ -254,7 +259,7 @@
                     len(self.fleet.candidates(service, ())))
         now = self.loop.now
         for service, known in self._budgets.items():
-            metrics.RETRIES_LEFT.labels(service).set(known.room(now))
+            metrics.RETRIES_LEFT.labels(service).set(known.available(now))
 
     # -- settings --------------------------------------------------------------
 
@@ -324,10 +329,11 @@
         # next request crosses the close was not read and tries elsewhere.
         self._callers.close_idle()
         now = self.loop.now
-        if self.shutdown.late(now):
+        if self.shutdown.is_overdue(now):
             for running in list(self._exchanges):
                 running.cut()
-        if self.shutdown.over(now, self.under_way or self._callers.sending()):
+        if self.shutdown.is_finished(now, self.under_way or
+                                     self._callers.sending()):
             self._finish()
             return
         self.loop.later(STOP_POLL_S, self._check_drained)
--- a/gorsefall/relay/peers.py
+++ b/gorsefall/relay/peers.py
@@ -118,7 +118,7 @@
     def _speak(self):
         now = time.monotonic()
         members = self._view.members
-        live = members.live(now)
+        live = members.live_hosts(now)
         self._note_members(len(live))
         self._soonest = now + self.period_s() * random.uniform(*SPREAD)
         self._speak_at(now + self.heartbeat_s())
@@ -137,14 +137,15 @@
         if len(live) > FEW:
             # One at any time all the same: who was cut off from some hears
             # of them again.
-            live = self._view.members.new(now) or random.sample(live, 1)
+            live = self._view.members.new_hosts(now) or random.sample(live, 1)
         return random.sample(live, min(TOLD, len(live)))
 
     def _note_members(self, live):
         if live != self._live:
             self._log.info('entries_heard', now=live, before=self._live)
             self._live = live
-            self._view.members.silent_s = SILENT_BEATS * self.heartbeat_s()
+            self._view.members.silent_after_s = SILENT_BEATS * self.heartbeat_s(
+            )
 
     def send(self, message, host):
         """Sends a message of ``messages`` to one entry."""
@@ -161,7 +162,7 @@
     def _told_of(self, hosts, now):
         for host in hosts:
             if host != self._host and datagrams.is_host(host):
-                self._view.members.told_of(host, now)
+                self._view.members.add_address(host, now)
 
     def _received(self, data, host):
         now = time.monotonic()
@@ -173,8 +174,8 @@
         self._faulty.discard(host)
         if not isinstance(message, membership.Status):
             self._pass_on(message, host)
-        elif self._view.heard(host, message, now):
-            self._told_of(message.hosts[:TOLD], now)
+        elif self._view.record_status(host, message, now):
+            self._told_of(message.known_hosts[:TOLD], now)
             self.on_status(message, host)
 
     def _pass_on(self, message, host):
--- a/gorsefall/relay/remembered.py
+++ b/gorsefall/relay/remembered.py
@@ -26,10 +26,10 @@
 
     Attributes:
         at_ms: When it was, ms since 1970.
-        sighting: The ``membership.Sighting``; its age counts from ``at_ms``.
+        sighting: The ``membership.RunReport``; its age counts from ``at_ms``.
     """
     at_ms: int
-    sighting: membership.Sighting
+    sighting: membership.RunReport
 
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -40,14 +40,14 @@
     """Returns the value of a record.
 
     Args:
-        sightings: ``membership.Sighting`` objects.
+        sightings: ``membership.RunReport`` objects.
         now_ms: Time of day, ms since 1970.
     """
     return _ENCODER.encode([_Kept(now_ms - s.age_ms, s) for s in sightings])
 
 
 def decode(value, now_ms):
-    """Returns the ``membership.Sighting`` objects of a value, aged since.
+    """Returns the ``membership.RunReport`` objects of a value, aged since.
 
     Raises:
         errors.RecordError: It cannot be decoded.
--- a/gorsefall/relay/sending.py
+++ b/gorsefall/relay/sending.py
@@ -24,12 +24,12 @@
         self.replica = replica
         self.began = time.monotonic()
         self.first_at = None
-        self._pulse = stalls.Pulse(replica.target)
+        self._pulse = stalls.StreamMonitor(replica.target)
         self._choice = choice
         self.channel = None
         self.place = contextlib.ExitStack()
         self.prompt_read = self.place.enter_context(
-            replica.occupied(choice.tokens, writes=writes))
+            replica.occupied(choice.prefill_tokens, writes=writes))
 
     @property
     def begun(self):
@@ -48,37 +48,38 @@
             attempt=number,
             priority=self._priority,
             outstanding=target.outstanding,
-            others=target.others,
+            others=target.others_requests,
             queue_ms=round(choice.queue_ms, 1),
-            tokens=choice.tokens,
-            ahead=round(choice.ahead),
-            source=choice.source.name if choice.source else None,
+            tokens=choice.prefill_tokens,
+            ahead=round(choice.prefill_tokens_ahead),
+            source=choice.fetch_source.name if choice.fetch_source else None,
             limit_per_s=self.replica.limit.per_s,
             version=node.table.version,
             proof_age_s=node.proof.logged_age_s())
 
     def note_start(self, known):
-        """Tells the ``pace.Pace`` of its service when its answer began."""
-        known.began((time.monotonic() - self.began) * 1000,
-                    self._choice.ahead + self._choice.tokens,
-                    self._choice.slowness)
+        """Tells its service's ``pace.ServiceSpeed`` when its answer began."""
+        known.record_start(
+            (time.monotonic() - self.began) * 1000,
+            self._choice.prefill_tokens_ahead + self._choice.prefill_tokens,
+            self._choice.slowness)
 
     def note_end(self, known):
-        """Tells the ``pace.Pace`` of its service how long it stayed."""
-        known.stay.ended((time.monotonic() - self.began) * 1000)
+        """Tells the ``pace.ServiceSpeed`` of its service how long it stayed."""
+        known.residence.record((time.monotonic() - self.began) * 1000)
 
     def events_came(self, count):
         """Notes that events of its stream came together."""
-        self._pulse.came(count, time.monotonic())
+        self._pulse.record_events(count, time.monotonic())
 
     @property
     def longest_pause_s(self):
         """Longest pause between events of its stream, s."""
-        return self._pulse.longest_s
+        return self._pulse.longest_pause_s
 
     def pause(self):
         """Reads no more until its caller has taken what came."""
-        self._pulse.paused()
+        self._pulse.record_pause()
         self.channel.pause()
 
     def is_mine(self, status, fields):
--- a/gorsefall/relay/sharing.py
+++ b/gorsefall/relay/sharing.py
@@ -113,7 +113,7 @@
         self._others = others
         self._send = send
         self._rng = rng
-        self._choice = readers.Choice(own, rng)
+        self._choice = readers.ReaderSelector(own, rng)
         self._topics = {}
         self._store = ''
         self._ask_s = 0.0
@@ -155,21 +155,21 @@
 
     def _round(self):
         self._loop.later(self._ask_s * self._rng.uniform(*SPREAD), self._round)
-        others = readers.able(self._others())
+        others = readers.with_store_access(self._others())
         # Where nobody reaches the store, those try who would read.
-        contends = self.able() or not any(c.able for c in others)
+        contends = self.able() or not any(c.can_read for c in others)
         self._lead(not others or (contends and self._is_due(others)))
         if self.leads:
             self._lead_for(others)
         else:
             self._probe()
             self._unheard = False
-            self._ask(self._choice.order(others, self._loop.now))
+            self._ask(self._choice.query_order(others, self._loop.now))
 
     def _is_due(self, others):
         # Where entries have not all heard of each other they choose others
         # to read; whoever is asked reads, or all would be told old news.
-        return (self._choice.reads(others) or
+        return (self._choice.is_reader(others) or
                 bool(self._asked_of_late(ASKED_S)))
 
     def _asked_of_late(self, for_s):
@@ -187,7 +187,7 @@
 
     def _lead_for(self, others):
         self.told_by = None
-        depended_on = self._choice.depended_on(others)
+        depended_on = self._choice.has_dependents(others)
         for followed in self._topics.values():
             followed.follower.pace = (followed.shared
                                       if depended_on else followed.alone)
@@ -225,7 +225,7 @@
         metrics.READS_ASKED.labels('unanswered').inc()
         self._unheard = True
         host, *rest = self._open.hosts
-        self._choice.unanswered(host, self._loop.now)
+        self._choice.record_no_response(host, self._loop.now)
         self._ask(rest)
 
     def _fall_back(self):
@@ -300,7 +300,7 @@
             self._ask(question.hosts[1:])
             return
         self.told_by = host
-        self._choice.answered(host)
+        self._choice.record_response(host)
         if self._in_vain:
             self._in_vain = False
             self._log.info('told_again', by=host)
@@ -335,7 +335,8 @@
 
     def _follow_hint(self, host):
         self._hinted = False
-        hosts = self._choice.order(readers.able(self._others()), self._loop.now)
+        hosts = self._choice.query_order(
+            readers.with_store_access(self._others()), self._loop.now)
         self._ask([host, *(h for h in hosts if h != host)])
 
     def _note_asker(self, host):
--- a/gorsefall/relay/workload.py
+++ b/gorsefall/relay/workload.py
@@ -5,7 +5,7 @@
 from gorsefall.policy import overload
 from gorsefall.policy import peerview
 from gorsefall.policy import placement
-from gorsefall.policy import unseen
+from gorsefall.policy import unreported
 from gorsefall.relay import model
 
 
@@ -35,12 +35,12 @@
         return replica.target if replica is not None else None
 
     def service(self, name):
-        """Returns the ``placement.Service`` of a service, as known now."""
-        known = self._services.setdefault(name, placement.Service())
+        """Returns the ``placement.ServiceState`` of a service, as known now."""
+        known = self._services.setdefault(name, placement.ServiceState())
         members = self.view.members
-        known.unseen.arrivals = unseen.Arrivals(
-            per_s=members.firsts(name) / self._window_s,
-            age_s=members.mean_age_s(time.monotonic()))
+        known.unreported.arrivals = unreported.Arrivals(
+            per_s=members.first_attempts(name) / self._window_s,
+            age_s=members.mean_status_age_s(time.monotonic()))
         described = self._fleet.service(name)
         if described is not None:
             known.fetch_ms = described.fetch_ms
@@ -48,8 +48,8 @@
         return known
 
     def ranks(self, service):
-        """Returns the ``overload.Ranks`` of a service."""
-        return self._ranks.setdefault(service, overload.Ranks())
+        """Returns the ``overload.RankStats`` of a service."""
+        return self._ranks.setdefault(service, overload.RankStats())
 
     def targets(self, service, exclude, *, urgent=True):
         """Returns the targets that may take a request, with others' work.
@@ -63,7 +63,7 @@
             r.target
             for r in self._fleet.candidates(service, exclude, urgent=urgent)
         ]
-        self.view.show(targets, time.monotonic())
+        self.view.update_views(targets, time.monotonic())
         return targets
 
     def sources(self, service):
@@ -82,29 +82,29 @@
     def others_firsts(self, service):
         """Returns the others' requests in the retry window, None if alone."""
         members = self.view.members
-        return None if members.alone else members.firsts(service)
+        return None if members.alone else members.first_attempts(service)
 
     def prompt_sent(self, replica, parts):
         """Notes the shared parts that a replica reads for a request."""
-        self.view.prompt_sent(replica.target, parts, time.monotonic())
+        self.view.record_prompt(replica.target, parts, time.monotonic())
 
     def answered(self, replica, ok):
         """Notes whether a replica's answer was what the caller needed."""
-        self.view.answered(replica.target, ok, time.monotonic())
+        self.view.record_response(replica.target, ok, time.monotonic())
 
     def status(self, boot, seq, hosts, **more):
         """Returns the ``membership.Status`` to tell the other entries.
 
         Args:
-            boot: See ``peerview.PeerView.status``.
+            boot: See ``peerview.PeerView.build_status``.
             seq: See there.
             hosts: See there.
             **more: Its other keywords.
         """
         targets = [r.target for r in self._fleet.replicas.values()]
-        return self.view.status(boot,
-                                seq,
-                                targets,
-                                time.monotonic(),
-                                hosts=hosts,
-                                **more)
+        return self.view.build_status(boot,
+                                      seq,
+                                      targets,
+                                      time.monotonic(),
+                                      known_hosts=hosts,
+                                      **more)
--- a/gorsefall/serving.py
+++ b/gorsefall/serving.py
@@ -33,7 +33,7 @@
 
     @property
     def terms(self):
-        """The ``attempts.Terms`` on which it may be sent again."""
+        """The ``attempts.RetryTerms`` on which it may be sent again."""
         raise NotImplementedError
 
     def send_next(self):
@@ -66,18 +66,19 @@
         if self.done:
             return
         try:
-            if self.attempts.forbids(self.terms):
+            if self.attempts.forbids_rerun(self.terms):
                 # Whatever led here, a run that may have begun is not begun
                 # anew.
-                raise self.attempts.unknown('it may not be repeated')
+                raise self.attempts.outcome_unknown_error(
+                    'it may not be repeated')
             self.send_next()
         except errors.GorsefallError as exc:
             # Whatever forbids a further send, an earlier one may have run.
-            self.fail(self.attempts.honest(exc, str(exc), self.terms))
+            self.fail(self.attempts.reportable_error(exc, str(exc), self.terms))
 
     def again(self, reason):
         """Sends it once more where that is safe; returns whether it is."""
-        if not (self.attempts.may_go_on(self.terms) and self.take_spare()):
+        if not (self.attempts.may_retry(self.terms) and self.take_spare()):
             return False
         self.log.info('retry', reason=reason)
         self.restart()
@@ -86,7 +87,7 @@
     def again_or(self, exc, reason):
         """Sends it once more where that is safe, or ends it with ``exc``."""
         if not self.again(reason):
-            self.fail(self.attempts.honest(exc, reason, self.terms))
+            self.fail(self.attempts.reportable_error(exc, reason, self.terms))
 
     def restart(self):
         """Begins anew at another replica."""
--- a/tests/test_announced.py
+++ b/tests/test_announced.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gorsefall.policy import announced
+from gorsefall.policy import announced_limits
 from gorsefall.policy import membership
 from gorsefall.relay import announcing
 
@@ -33,7 +33,7 @@
         self.name = name
         self.since = now
         self.gone_at = float('inf')
-        self.limit = announced.Announced()
+        self.limit = announced_limits.AnnouncedLimit()
 
     def believed(self, now):
         """Whether the others believe it there."""
@@ -41,11 +41,11 @@
 
     def act(self, found, per_s, now):
         """Returns how many requests it sends now."""
-        self.limit.heard(per_s, now)
-        self.limit.part = 1 / len(found) if self in found else 0.0
+        self.limit.update(per_s, now)
+        self.limit.share = 1 / len(found) if self in found else 0.0
         sent = 0
         while self.limit.allows(now):
-            self.limit.sent(now)
+            self.limit.record_sent(now)
             sent += 1
         return sent
 
@@ -64,13 +64,13 @@
             gone.gone_at = now
             entries.append(_Entry(f'n{step}', now))
         known = [e for e in entries if e.believed(now)]
-        shared = announced.senders('r', known, per_s)
+        shared = announced_limits.senders('r', known, per_s)
         for entry in entries:
             if entry.gone_at <= now:
                 continue
             found = shared
             if entry not in known:
-                found = announced.senders('r', [*known, entry], per_s)
+                found = announced_limits.senders('r', [*known, entry], per_s)
             sent += [now] * entry.act(found, per_s, now)
     assert _most(sent) <= FACTOR * WINDOW_S * per_s + SPARE
     if per_s >= 1.0:
@@ -79,25 +79,25 @@
 
 def test_a_limit_that_changes_binds_at_once():
     """A replica flooded as its limit falls, by what was saved under the old."""
-    limit = announced.Announced(part=1.0)
-    limit.heard(100.0, 0.0)
+    limit = announced_limits.AnnouncedLimit(share=1.0)
+    limit.update(100.0, 0.0)
     assert limit.allows(10.0)
-    limit.heard(1.0, 10.0)
+    limit.update(1.0, 10.0)
     sent = 0
     for step in range(80):
         now = 10.0 + step * STEP_S
         if limit.allows(now):
-            limit.sent(now)
+            limit.record_sent(now)
             sent += 1
     assert sent <= FACTOR * WINDOW_S + SPARE
 
 
 def test_a_limit_of_nothing_is_left_again():
     """A replica that is sent nothing for good after it named a limit of 0."""
-    limit = announced.Announced(part=1.0)
-    limit.heard(0.0, 0.0)
+    limit = announced_limits.AnnouncedLimit(share=1.0)
+    limit.update(0.0, 0.0)
     assert not limit.allows(1.0)
-    assert limit.allows(2.0 / announced.LEAST_PER_S)
+    assert limit.allows(2.0 / announced_limits.MIN_PER_S)
 
 
 _SAID = st.lists(st.tuples(st.sampled_from([None, 0.5, 2.0]),
@@ -112,9 +112,9 @@
     """A limit that stays, or is dropped, by an answer that was overtaken."""
     told = said + [s for s in said if rng.random() < 0.5]
     rng.shuffle(told)
-    limit = announced.Announced()
+    limit = announced_limits.AnnouncedLimit()
     for per_s, at in told:
-        limit.heard(per_s, float(at))
+        limit.update(per_s, float(at))
     assert limit.per_s == max(said, key=lambda s: s[1])[0]
 
 
@@ -130,7 +130,7 @@
 def _entry(name):
     replica = types.SimpleNamespace(record=types.SimpleNamespace(id='r',
                                                                  born=7),
-                                    limit=announced.Announced())
+                                    limit=announced_limits.AnnouncedLimit())
     fleet = types.SimpleNamespace(replicas={'r': replica})
     loop = _Loop()
     own = announcing.Announcing(loop, fleet, membership.Members(name))
@@ -138,7 +138,7 @@
 
 
 def _tell(source, target, now):
-    target.heard(membership.Status('a', 1, 1, limits=source.told(now)))
+    target.heard(membership.Status('a', 1, 1, limit_reports=source.told(now)))
 
 
 def test_others_are_told_of_a_limit_and_of_its_end():
@@ -166,11 +166,11 @@
 
 def test_the_most_urgent_has_the_first_claim():
     """Urgent requests that find what a limit leaves taken by others."""
-    limit = announced.Announced(part=1.0)
-    limit.heard(1.0, 0.0)
+    limit = announced_limits.AnnouncedLimit(share=1.0)
+    limit.update(1.0, 0.0)
     limit.allows(0.0)
-    at = 1.0 / announced.USED
+    at = 1.0 / announced_limits.USED_SHARE
     assert limit.allows(at) and not limit.allows(at, urgent=False)
     assert limit.allows(2 * at, urgent=False)
-    limit.sent(2 * at)
+    limit.record_sent(2 * at)
     assert limit.allows(2 * at) and not limit.allows(2 * at, urgent=False)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -27,23 +27,23 @@
 
 
 _NOTES = {
-    End.REFUSED: attempts.Attempts.refused,
-    End.UNREACHED: attempts.Attempts.not_reached,
-    End.WITHDRAWN: attempts.Attempts.withdrawn,
+    End.REFUSED: attempts.Attempts.record_refusal,
+    End.UNREACHED: attempts.Attempts.record_unreached,
+    End.WITHDRAWN: attempts.Attempts.record_withdrawal,
 }
 
 # Few names, so that one replica is met again, as the copy of a run is.
 _SENDS = st.lists(st.tuples(st.sampled_from('abc'), st.sampled_from(list(End))))
-_TERMS = st.builds(attempts.Terms,
+_TERMS = st.builds(attempts.RetryTerms,
                    repeatable=st.booleans(),
-                   most=st.integers(1, 4),
-                   refusals_free=st.booleans())
+                   max_attempts=st.integers(1, 4),
+                   refusals_uncounted=st.booleans())
 
 
 def _play(sends):
     made = attempts.Attempts()
     for name, end in sends:
-        made.sent(name)
+        made.record_sent(name)
         if end in _NOTES:
             _NOTES[end](made)
     return made
@@ -55,13 +55,13 @@
     lost = [n for n, e in sends if e is End.LOST]
     counted = [
         e for _, e in sends if e is not End.UNREACHED and
-        not (e is End.REFUSED and terms.refusals_free)
+        not (e is End.REFUSED and terms.refusals_uncounted)
     ]
-    room = len(counted) < terms.most
+    room = len(counted) < terms.max_attempts
     assert sorted(made.in_doubt) == sorted(lost)
     assert made.tried == {n for n, _ in sends}
-    assert made.may_repeat(terms) == (room and terms.repeatable)
-    assert made.may_go_on(terms) == (room and (terms.repeatable or not lost))
+    assert made.may_run_concurrently(terms) == (room and terms.repeatable)
+    assert made.may_retry(terms) == (room and (terms.repeatable or not lost))
 
 
 @hypothesis.given(_SENDS, _TERMS)
@@ -70,7 +70,7 @@
     lost = any(e is End.LOST for _, e in sends)
     for exc in (errors.ReplicaRefusedError('no'), errors.DrainingError('no'),
                 errors.BackendFailedError('no')):
-        said = made.honest(exc, 'why', terms)
+        said = made.reportable_error(exc, 'why', terms)
         if not lost:
             assert said is exc
         elif isinstance(exc, errors.NotRunError) or not terms.repeatable:
@@ -94,11 +94,11 @@
         self._error = error
         self._repeatable = repeatable
         self.told = None
-        self.attempts.sent('r1')
+        self.attempts.record_sent('r1')
 
     @property
     def terms(self):
-        return attempts.Terms(repeatable=self._repeatable, most=2)
+        return attempts.RetryTerms(repeatable=self._repeatable, max_attempts=2)
 
     def send_next(self):
         raise self._error
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from gorsefall.policy import budget
-from gorsefall.policy import share
+from gorsefall.policy import traffic_share
 
 ALLOWANCE = budget.Allowance(ratio=0.2, window_s=10.0, slack=52.0)
 
@@ -25,16 +25,18 @@
     entry asks again for what is late. Cause: nobody counts over all entries.
     The oracle counts arrivals of seven entries in every sliding window.
     """
-    entries = [budget.Budget(ALLOWANCE, share.Share()) for _ in range(7)]
+    entries = [
+        budget.Budget(ALLOWANCE, traffic_share.TrafficShare()) for _ in range(7)
+    ]
     firsts, retries = collections.deque(), collections.deque()
     now = 0.0
     for wait, i, is_retry in events:
         now += wait
         if is_retry:
-            if entries[i].take(now):
+            if entries[i].acquire(now):
                 retries.append(now)
         else:
-            entries[i].first(now)
+            entries[i].record_first_attempt(now)
             firsts.append(now)
         since = now - ALLOWANCE.window_s
         while firsts and firsts[0] <= since:
@@ -50,11 +52,11 @@
 
 def test_room_comes_back_with_time():
     """An entry that used its budget may retry again a window later."""
-    one = budget.Budget(ALLOWANCE, share.Share())
-    while one.take(0.0):
+    one = budget.Budget(ALLOWANCE, traffic_share.TrafficShare())
+    while one.acquire(0.0):
         pass
-    assert one.room(5.0) < 1
-    assert one.room(10.1) >= 1
+    assert one.available(5.0) < 1
+    assert one.available(10.1) >= 1
 
 
 ZONES, REPLICAS = 3, 9
@@ -72,7 +74,7 @@
         at_mine = there[:REPLICAS // ZONES if near > 1 else REPLICAS]
         own = sum(rng.random() < 1 / (near if near > 1 else entries)
                   for _ in range(sum(at_mine)))
-        part.seen(own + 1, rng.choice(at_mine) + 1, REPLICAS)
+        part.record_sample(own + 1, rng.choice(at_mine) + 1, REPLICAS)
 
 
 @pytest.mark.parametrize('answers', [0, 3, 20, 400])
@@ -90,10 +92,10 @@
     rng = random.Random(entries)
     total = 0
     for _ in range(entries):
-        part = share.Share()
+        part = traffic_share.TrafficShare()
         _seen(part, entries, answers, rng)
         one = budget.Budget(ALLOWANCE, part)
-        while one.take(0.0):
+        while one.acquire(0.0):
             total += 1
     assert total <= ALLOWANCE.slack
 
@@ -102,9 +104,9 @@
     """Symptom: each of many entries takes all. Sequence: replicas have one
     request each, so an answer shows the entry its own alone. Cause: that one
     was counted, though it is there in any case."""
-    part = share.Share()
+    part = traffic_share.TrafficShare()
     for _ in range(1000):
-        part.seen(1, 1, 5)
+        part.record_sample(1, 1, 5)
     assert part.value == 0.0
 
 
@@ -113,15 +115,15 @@
              max_size=3000))
 def test_the_part_stays_a_part(loads):
     """Counts cross each other on the way: own ones may be over all."""
-    part = share.Share()
+    part = traffic_share.TrafficShare()
     for load in loads:
-        part.seen(*load)
+        part.record_sample(*load)
     assert 0.0 <= part.value <= 1.0
 
 
 def test_the_part_follows_entries_that_come():
     rng = random.Random(1)
-    part = share.Share()
+    part = traffic_share.TrafficShare()
     _seen(part, 6, 3000, rng)
     assert 0.13 < part.value < 0.2
     _seen(part, 60, 6000, rng)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -68,7 +68,7 @@
     """Symptom: 39 lines of refusals just after a restart could not be decoded.
     Cause: the age of a proof that never came was written as Infinity."""
     from gorsefall.policy import freshness
-    assert freshness.Proof(5.0).logged_age_s() is None
+    assert freshness.Confirmation(5.0).logged_age_s() is None
 
 
 def test_spoilt_lines_are_counted_and_passed_over(tmp_path):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -146,14 +146,15 @@
     """
     directory = _fleet(record('a', born=1000))
     before = directory.replicas['a']
-    before.target.failed(0.0)
-    before.target.sent(5000)
-    before.target.kept.used((prompts.Part('p', 900),))
+    before.target.record_failure(0.0)
+    before.target.record_sent(5000)
+    before.target.prompt_cache.record_use((prompts.Part('p', 900),))
     directory.put(record('a', born=2000))
     after = directory.replicas['a']
     assert after is not before
     assert after.target.outstanding == after.target.failures == 0
-    assert not after.target.kept.tokens((prompts.Part('p', 900),))
+    assert not after.target.prompt_cache.cached_tokens(
+        (prompts.Part('p', 900),))
 
 
 def test_a_record_of_an_earlier_start_is_passed_over():
@@ -222,7 +223,7 @@
 
 
 def _status(*ended):
-    return membership.Status('other', 1, 1, ended=ended)
+    return membership.Status('other', 1, 1, replica_exits=ended)
 
 
 def test_a_replica_that_another_entry_found_ended_gets_no_work():
@@ -232,12 +233,12 @@
     for name in 'ab':
         directory.put(record(name, born=5))
     now = time.monotonic()
-    directory.heard(_status(membership.Ended('a', 4, 0)), now)
+    directory.heard(_status(membership.ReplicaExit('a', 4, 0)), now)
     assert names(directory) == {'a', 'b'}
-    directory.heard(_status(membership.Ended('a', 5, 100)), now)
+    directory.heard(_status(membership.ReplicaExit('a', 5, 100)), now)
     assert names(directory) == {'b'}
     told, = directory.ended_of_late(now)
-    assert (told.replica, told.born) == ('a', 5)
+    assert (told.replica, told.started_at_ms) == ('a', 5)
 
 
 def test_a_replica_that_goes_on_writing_has_not_ended():
@@ -247,7 +248,7 @@
     for name in 'ab':
         directory.put(record(name))
     now = time.monotonic()
-    directory.heard(_status(membership.Ended('a', 0, 0)), now)
+    directory.heard(_status(membership.ReplicaExit('a', 0, 0)), now)
     directory.put(record('a'))
     assert names(directory) == {'b'}
     directory.replicas['a'].ended_at = now - fleet.ALIVE_S - 1
@@ -260,5 +261,6 @@
     directory = fleet.Fleet(Loop())
     directory.services_changed(SERVICES)
     directory.put(record('a'))
-    directory.heard(_status(membership.Ended('a', 0, 0)), time.monotonic())
+    directory.heard(_status(membership.ReplicaExit('a', 0, 0)),
+                    time.monotonic())
     assert names(directory) == {'a'}
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -74,10 +74,10 @@
         for peer in fleet:
             if peer is not me:
                 for key, inflight, rate in peer.report(now):
-                    use = total.setdefault(tuple(key), limits.Use())
+                    use = total.setdefault(tuple(key), limits.Usage())
                     use.inflight += inflight
                     use.rate += rate
-        me.peers, me.silent = total, 0
+        me.peer_usage, me.silent_peers = total, 0
 
 
 @given(entries=st.integers(1, 7),
@@ -128,7 +128,7 @@
 def test_a_silent_peer_counts_as_using_its_whole_part():
     fleet = _fleet(2)
     _tell(fleet, 0.0)
-    fleet[0].silent = 1
+    fleet[0].silent_peers = 1
     admitted = 0
     for _ in range(20):
         try:
--- a/tests/test_load_watch.py
+++ b/tests/test_load_watch.py
@@ -46,7 +46,7 @@
     rep = _replica()
     read = _watch(rep)
     read(None, None, REFUSED)
-    rep.failed(1000.0)
+    rep.record_failure(1000.0)
     until = rep.eject_until
     read(200, _report(), None)
     assert rep.eject_until == until
--- a/tests/test_many_entries.py
+++ b/tests/test_many_entries.py
@@ -10,8 +10,8 @@
 from gorsefall.policy import knowledge
 from gorsefall.policy import membership
 from gorsefall.policy import placement
-from gorsefall.policy import split
-from gorsefall.policy import unseen
+from gorsefall.policy import partition
+from gorsefall.policy import unreported
 
 FLEET = loads.AUTHORITY.busier(digest=6.0, advice=6.0,
                                chat=6.0).changed(count=40,
@@ -37,27 +37,27 @@
     engine idle, and one stands full beside ten empty ones."""
     burst = FLEET.busier(chat=2.5)
     spread = play.play(burst, policy=policies.placed, seed=0)
-    monkeypatch.setattr(unseen, 'MOST', 0)
+    monkeypatch.setattr(unreported, 'MAX_SIMULATED', 0)
     herded = play.play(burst, policy=policies.placed, seed=0)
     assert spread.on_time['chat'] > herded.on_time['chat']
 
 
 def _writing(count, each):
     targets = [
-        knowledge.Target(f'r{i}', 'z', slots=32, engine=True)
+        knowledge.ReplicaView(f'r{i}', 'z', slots=32, engine=True)
         for i in range(count)
     ]
     for i, target in enumerate(targets):
-        target.told(membership.Row(each(i), 0, each(i)), 0.0)
+        target.record_others(membership.InFlight(each(i), 0, each(i)), 0.0)
     return targets
 
 
-WANT = knowledge.Want(zone='z', tokens=600, tokens_out=300)
+WANT = knowledge.RequestProfile(zone='z', tokens=600, tokens_out=300)
 
 
 def _picked(targets, service, times=400):
     rng = random.Random(1)
-    kept = split.quiet(targets, len(targets) // 2)
+    kept = partition.select_engines(targets, len(targets) // 2)
     picked = collections.Counter()
     for _ in range(times):
         picked[placement.choose(targets, WANT, service, 0.0,
@@ -67,10 +67,10 @@
 
 
 def _service(per_s, age_s):
-    service = placement.Service()
-    service.unseen.arrivals = unseen.Arrivals(per_s, age_s)
+    service = placement.ServiceState()
+    service.unreported.arrivals = unreported.Arrivals(per_s, age_s)
     for _ in range(100):
-        service.unseen.noted(True)
+        service.unreported.record_request(True)
     return service
 
 
@@ -90,6 +90,11 @@
 def test_slots_are_kept_for_requests_that_are_unseen():
     """Requests that wait for a slot though most engines have some."""
     targets = _writing(20, lambda i: 4)
-    kept = split.Split().kept(targets, writing=80, now=0.0, unseen=40.0)
+    kept = partition.DecodePartition().decode_engines(targets,
+                                                      writing=80,
+                                                      now=0.0,
+                                                      unseen=40.0)
     assert len(kept) * 32 >= 80 + 40
-    assert len(split.Split().kept(targets, writing=80, now=0.0)) < len(kept)
+    assert len(partition.DecodePartition().decode_engines(targets,
+                                                          writing=80,
+                                                          now=0.0)) < len(kept)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,8 +9,11 @@
 
 
 def _status(name, boot=1, seq=1, rows=None, **fields):
-    rows = {r: membership.Row(n, 10 * n, 0) for r, n in (rows or {}).items()}
-    return membership.Status(name, boot, seq, fields.get('firsts', {}), rows)
+    rows = {
+        r: membership.InFlight(n, 10 * n, 0) for r, n in (rows or {}).items()
+    }
+    return membership.Status(name, boot, seq, fields.get('first_attempts', {}),
+                             rows)
 
 
 _WORDS = st.lists(st.tuples(
@@ -38,28 +41,32 @@
         before = last.get(host)
         if before is None:
             new = True
-        elif before[0].boot == boot:
+        elif before[0].started_at_ms == boot:
             new = seq > before[0].seq
         else:
-            silent = now - before[1] > membership.SILENT_S
-            new = silent or boot > before[0].boot
-        assert members.heard(host, status, now) == new
+            silent = now - before[1] > membership.SILENCE_TIMEOUT_S
+            new = silent or boot > before[0].started_at_ms
+        assert members.record_status(host, status, now) == new
         if new:
             last[host] = (status, now)
         members.expire(now)
-        live = [s for s, at in last.values() if now - at <= membership.SILENT_S]
+        live = [
+            s for s, at in last.values()
+            if now - at <= membership.SILENCE_TIMEOUT_S
+        ]
         assert members.alone == (not live)
         for replica in REPLICAS:
             total = sum(
-                s.rows.get(replica, membership.NOTHING).requests for s in live)
-            assert members.row(replica).requests == total
+                s.in_flight.get(replica, membership.NO_REQUESTS).requests
+                for s in live)
+            assert members.in_flight(replica).requests == total
 
 
 def test_an_entry_does_not_count_itself():
     """Own work counted twice: a seed that names this VM, or an echo."""
     members = membership.Members('me')
-    assert not members.heard('h', _status('me', rows={'r1': 5}), 0.0)
-    assert members.alone and members.row('r1') == membership.NOTHING
+    assert not members.record_status('h', _status('me', rows={'r1': 5}), 0.0)
+    assert members.alone and members.in_flight('r1') == membership.NO_REQUESTS
 
 
 def test_a_frozen_entry_is_left_out_and_comes_back():
@@ -67,31 +74,32 @@
     with requests under way; its replicas end them. Cause: its last words were
     believed for as long."""
     members = membership.Members('me')
-    members.heard('h', _status('a', seq=1, rows={'r1': 5}), 0.0)
+    members.record_status('h', _status('a', seq=1, rows={'r1': 5}), 0.0)
     members.expire(5.0)
-    assert members.row('r1') == membership.NOTHING
-    assert not members.heard('h', _status('a', seq=1, rows={'r1': 5}), 5.0)
-    assert members.heard('h', _status('a', seq=2, rows={'r1': 1}), 5.1)
-    assert members.row('r1').requests == 1
+    assert members.in_flight('r1') == membership.NO_REQUESTS
+    assert not members.record_status('h', _status('a', seq=1, rows={'r1': 5}),
+                                     5.0)
+    assert members.record_status('h', _status('a', seq=2, rows={'r1': 1}), 5.1)
+    assert members.in_flight('r1').requests == 1
 
 
 def test_words_of_the_process_before_are_passed_over():
     """A message of the old process that was long on its way after a restart
     would bring back requests that are gone."""
     members = membership.Members('me')
-    members.heard('h', _status('a', boot=2, seq=1, rows={'r1': 1}), 0.0)
-    assert not members.heard('h', _status('a', boot=1, seq=99, rows={'r1': 9}),
-                             0.1)
-    assert members.row('r1').requests == 1
+    members.record_status('h', _status('a', boot=2, seq=1, rows={'r1': 1}), 0.0)
+    assert not members.record_status(
+        'h', _status('a', boot=1, seq=99, rows={'r1': 9}), 0.1)
+    assert members.in_flight('r1').requests == 1
 
 
 def test_addresses_are_bounded_and_forgotten():
     """A flood of addresses told of, none of which answers."""
     members = membership.Members('me')
     for i in range(5 * membership.MAX_MEMBERS):
-        members.told_of(f'10.0.{i // 256}.{i % 256}', 0.0)
+        members.add_address(f'10.0.{i // 256}.{i % 256}', 0.0)
     assert len(members.addresses(1.0)) == membership.MAX_MEMBERS
-    assert not members.addresses(membership.UNHEARD_S + 1.0)
+    assert not members.addresses(membership.UNCONFIRMED_ADDRESS_TTL_S + 1.0)
 
 
 def test_requests_of_the_silent_still_count_for_the_retries():
@@ -100,11 +108,11 @@
     each half takes itself for all. Cause: who is silent was left out of the
     sum that an entry's part is worked out from."""
     members = membership.Members('me')
-    members.heard('h', _status('a', firsts={'s': 40}), 0.0)
+    members.record_status('h', _status('a', first_attempts={'s': 40}), 0.0)
     members.expire(10.0)
-    assert members.alone and members.firsts('s') == 40
-    members.addresses(membership.FORGET_S + 1.0)
-    assert members.firsts('s') == 0
+    assert members.alone and members.first_attempts('s') == 40
+    members.addresses(membership.ADDRESS_TTL_S + 1.0)
+    assert members.first_attempts('s') == 0
 
 
 @given(
@@ -114,6 +122,7 @@
     members = membership.Members('me')
     last = {}
     for seq, (host, firsts) in enumerate(words, 1):
-        members.heard(host, _status(host, seq=seq, firsts={'s': firsts}), 0.0)
+        members.record_status(
+            host, _status(host, seq=seq, first_attempts={'s': firsts}), 0.0)
         last[host] = firsts
-    assert members.firsts('s') == sum(last.values())
+    assert members.first_attempts('s') == sum(last.values())
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -64,7 +64,8 @@
     """
     kinds = loads.AUTHORITY
     after = {n: _means(kinds, policies.placed, n) for n in (1, 2)}
-    monkeypatch.setattr(overload.Ranks, 'limit_ms', _limit_by_own_target)
+    monkeypatch.setattr(overload.RankStats, 'queue_limit_ms',
+                        _limit_by_own_target)
     before = {n: _means(kinds, policies.placed, n) for n in (1, 2)}
     for n, least, more in ((2, 0.86 + 0.05, 0.0), (1, 0.47 + 0.3, 0.3)):
         advice = after[n].on_time['advice']
@@ -78,7 +79,8 @@
 def _limit_by_own_target(ranks, rank, target_ms):
     """The way before: each target grows by its own rank alone."""
     targets = [ranks._targets_ms[r] for r in ranks._below(rank)]
-    return max(overload.QUEUE_SHARE * target * overload.GROWTH**steps
+    return max(overload.QUEUE_SHARE_OF_TARGET * target *
+               overload.LIMIT_GROWTH_PER_RANK**steps
                for steps, target in enumerate([*targets, target_ms]))
 
 
@@ -100,27 +102,28 @@
 
 
 def _target(**fields):
-    return knowledge.Target(name='e1',
-                            zone='z',
-                            slots=64,
-                            engine=True,
-                            **fields)
+    return knowledge.ReplicaView(name='e1',
+                                 zone='z',
+                                 slots=64,
+                                 engine=True,
+                                 **fields)
 
 
 LIMIT_MS = 200.0
 
 
 def _want(**fields):
-    return knowledge.Want(zone='z', **fields)
+    return knowledge.RequestProfile(zone='z', **fields)
 
 
 def _choose(target, want, rng=random):
-    return placement.choose([target], want, placement.Service(), 0.0, rng)
+    return placement.choose([target], want, placement.ServiceState(), 0.0, rng)
 
 
 def _queue_ms(target, now):
-    cost = costs.Costs(_want(), placement.Service(), [target], now)
-    return cost.places[0].queue_ms
+    cost = costs.PlacementCosts(_want(), placement.ServiceState(), [target],
+                                now)
+    return cost.candidates[0].queue_ms
 
 
 def test_a_large_prompt_alone_is_not_refused():
@@ -128,28 +131,28 @@
     its own reading, 700 ms here, taken for a queue."""
     want = _want(tokens=39600)
     choice = _choose(_target(), want)
-    assert overload.refuse_for_s(choice, LIMIT_MS) is None
+    assert overload.retry_after_s(choice, LIMIT_MS) is None
 
 
 def test_what_others_let_wait_counts():
     """Symptom: entries go on sending to a replica where prompts of others
     wait. Cause: only their number was weighed, not what is to be read."""
     target = _target()
-    target.report(running=5, waiting=0, now=0.0)
+    target.record_load(running=5, waiting=0, now=0.0)
     quick = _queue_ms(target, 0.1)
-    target.report(running=0, waiting=5, now=0.0)
+    target.record_load(running=0, waiting=5, now=0.0)
     assert _queue_ms(target, 0.1) > 10 * quick
 
 
 def test_own_waiting_prompts_count_once():
     target = _target()
-    target.sent(5000)
+    target.record_sent(5000)
     alone = _queue_ms(target, 0.0)
-    target.report(running=0, waiting=1, now=0.0)
+    target.record_load(running=0, waiting=1, now=0.0)
     assert _queue_ms(target, 0.0) == alone
-    target.began(5000)
-    target.ended()
-    assert (target.outstanding, target.pending, target.pending_tokens) == (0, 0,
+    target.record_prefilled(5000)
+    target.record_end()
+    assert (target.outstanding, target.pending, target.prefill_tokens) == (0, 0,
                                                                            0)
 
 
@@ -157,10 +160,10 @@
     """Callers refused together that return together are refused again."""
     rng = random.Random(1)
     target = _target()
-    target.sent(57000)
+    target.record_sent(57000)
     want = _want(tokens=100)
     choice = _choose(target, want, rng)
-    times = [overload.refuse_for_s(choice, LIMIT_MS, rng) for _ in range(50)]
+    times = [overload.retry_after_s(choice, LIMIT_MS, rng) for _ in range(50)]
     assert min(times) >= 1.0 and max(times) - min(times) > 0.5
 
 
@@ -168,12 +171,13 @@
     """Symptom: urgent requests refused while bulk ones begin. Sequence: the
     urgent have a target of 300 ms, the bulk of 10 s; a queue of one second
     builds up. Cause: each limit was worked out from the own target alone."""
-    ranks = overload.Ranks()
+    ranks = overload.RankStats()
     for _ in range(20):
-        ranks.asked(0, 300.0)
-        ranks.asked(3, 10000.0)
-    bulk = ranks.limit_ms(3, 10000.0)
-    assert ranks.limit_ms(0, 300.0) >= overload.GROWTH * bulk
+        ranks.record_request(0, 300.0)
+        ranks.record_request(3, 10000.0)
+    bulk = ranks.queue_limit_ms(3, 10000.0)
+    assert ranks.queue_limit_ms(0,
+                                300.0) >= overload.LIMIT_GROWTH_PER_RANK * bulk
 
 
 _ASKED = st.lists(st.tuples(st.integers(0, 9), st.sampled_from([300, 1200])),
@@ -182,47 +186,49 @@
 
 @hypothesis.given(_ASKED, st.integers(0, 9), st.sampled_from([300, 1200]))
 def test_limits_against_a_plain_count(asked, rank, target):
-    ranks = overload.Ranks()
+    ranks = overload.RankStats()
     for one in asked:
-        ranks.asked(*one)
+        ranks.record_request(*one)
     counts = collections.Counter(r for r, _ in asked)
     targets = dict(asked)
-    limit = overload.QUEUE_SHARE * target
+    limit = overload.QUEUE_SHARE_OF_TARGET * target
     for lower in range(9, rank, -1):
-        if counts[lower] and counts[lower] >= overload.RANK_SHARE * len(asked):
-            limit = max(limit, overload.QUEUE_SHARE * targets[lower])
+        if counts[lower] and counts[lower] >= overload.MIN_RANK_SHARE * len(
+                asked):
+            limit = max(limit, overload.QUEUE_SHARE_OF_TARGET * targets[lower])
     for lower in range(9, rank, -1):
-        if counts[lower] and counts[lower] >= overload.RANK_SHARE * len(asked):
-            limit *= overload.GROWTH
-    assert ranks.limit_ms(rank, target) == pytest.approx(limit)
+        if counts[lower] and counts[lower] >= overload.MIN_RANK_SHARE * len(
+                asked):
+            limit *= overload.LIMIT_GROWTH_PER_RANK
+    assert ranks.queue_limit_ms(rank, target) == pytest.approx(limit)
 
 
 @hypothesis.given(_ASKED)
 def test_who_is_more_urgent_bears_a_multiple(asked):
-    ranks = overload.Ranks()
+    ranks = overload.RankStats()
     for one in asked:
-        ranks.asked(*one)
+        ranks.record_request(*one)
     targets = dict(asked)
     in_use = ranks._below(-1)
     for less, more in zip(in_use, in_use[1:], strict=False):
-        bulk = ranks.limit_ms(less, targets[less])
-        assert ranks.limit_ms(more,
-                              targets[more]) >= overload.GROWTH * bulk - 1e-6
+        bulk = ranks.queue_limit_ms(less, targets[less])
+        assert ranks.queue_limit_ms(
+            more, targets[more]) >= overload.LIMIT_GROWTH_PER_RANK * bulk - 1e-6
 
 
 def test_no_target_means_no_limit():
-    assert overload.Ranks().limit_ms(1, 0.0) == float('inf')
+    assert overload.RankStats().queue_limit_ms(1, 0.0) == float('inf')
 
 
 def test_limits_follow_the_traffic():
     """A rank that is no longer asked for must not keep limits high."""
-    ranks = overload.Ranks()
+    ranks = overload.RankStats()
     for _ in range(1000):
-        ranks.asked(5, 1000.0)
-    high = ranks.limit_ms(2, 1000.0)
-    for _ in range(10 * overload.RANK_MEMORY):
-        ranks.asked(2, 1000.0)
-    assert ranks.limit_ms(2, 1000.0) < high
+        ranks.record_request(5, 1000.0)
+    high = ranks.queue_limit_ms(2, 1000.0)
+    for _ in range(10 * overload.MAX_COUNTED_REQUESTS):
+        ranks.record_request(2, 1000.0)
+    assert ranks.queue_limit_ms(2, 1000.0) < high
 
 
 def test_long_answers_and_dossiers_share_the_engines():
@@ -254,13 +260,13 @@
     home, which only costs where a prompt is read anew.
     """
     targets = [
-        knowledge.Target(name=f'e{i}', zone='z', slots=64, engine=True)
+        knowledge.ReplicaView(name=f'e{i}', zone='z', slots=64, engine=True)
         for i in range(2)
     ]
-    service = placement.Service()
-    want = _want(tokens=14000, tokens_out=10, limit_ms=140.0)
+    service = placement.ServiceState()
+    want = _want(tokens=14000, tokens_out=10, queue_limit_ms=140.0)
     first = placement.choose(targets, want, service, 0.0)
-    first.target.sent(first.tokens)
+    first.target.record_sent(first.prefill_tokens)
     second = placement.choose(targets, want, service, 0.0)
     assert second.target is not first.target
-    assert overload.refuse_for_s(second, want.limit_ms) is None
+    assert overload.retry_after_s(second, want.queue_limit_ms) is None
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -13,28 +13,31 @@
 def test_the_reading_speed_is_found_through_waits(ms_per_token):
     """Half of the answers waited behind work that nobody told of."""
     rng = random.Random(1)
-    known = pace.Pace()
+    known = pace.ServiceSpeed()
     for _ in range(200):
         tokens = rng.randint(1000, 12000)
         unknown = rng.choice([0, 0, rng.randint(0, 9000)])
-        known.began((tokens + unknown) * ms_per_token, tokens, 1.0)
-    assert known.read_ms == pytest.approx(ms_per_token, rel=0.25)
+        known.record_start((tokens + unknown) * ms_per_token, tokens, 1.0)
+    assert known.prefill_ms_per_token == pytest.approx(ms_per_token, rel=0.25)
 
 
 def test_short_prompts_tell_nothing():
     """The way there and back, 3 ms, is no reading of 20 tokens."""
-    known = pace.Pace()
+    known = pace.ServiceSpeed()
     for _ in range(100):
-        known.began(3.0, 20, 1.0)
-    assert known.read_ms == pace.READ_MS_GUESS
+        known.record_start(3.0, 20, 1.0)
+    assert known.prefill_ms_per_token == pace.INITIAL_PREFILL_MS_PER_TOKEN
 
 
 def _targets(pauses):
     targets = []
     for i, pause in enumerate(pauses):
-        target = knowledge.Target(name=f'r{i}', zone='z', slots=8, engine=True)
+        target = knowledge.ReplicaView(name=f'r{i}',
+                                       zone='z',
+                                       slots=8,
+                                       engine=True)
         for _ in range(200 if pause else 0):
-            target.pause.saw(pause)
+            target.pause.record(pause)
         targets.append(target)
     return targets
 
@@ -62,9 +65,11 @@
     0.2 s, five times as long is over any target of the load sheets.
     """
     targets = _targets([20, 20, 20, 20, 100])
-    service = placement.Service()
+    service = placement.ServiceState()
     slow = targets[-1]
     for i in range(50):
-        want = knowledge.Want(zone='z', tokens=9000 + i, tokens_out=50)
+        want = knowledge.RequestProfile(zone='z',
+                                        tokens=9000 + i,
+                                        tokens_out=50)
         choice = placement.choose(targets, want, service, 0.0)
         assert choice.target is not slow
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -1,6 +1,6 @@
 """When a silent attempt is given up."""
 
-from gorsefall.policy import patience
+from gorsefall.policy import attempt_timeouts
 
 
 def test_overload_makes_attempts_wait_longer():
@@ -13,22 +13,22 @@
     long answers take now.
     Figures: first events of 50 to 100 ms when calm, 1.5 s in that load.
     """
-    one = patience.Patience()
+    one = attempt_timeouts.StartLatency()
     for _ in range(50):
-        one.began(0.05)
-        one.began(0.1)
-    assert one.wait_s(1.2) == 1.2
+        one.record(0.05)
+        one.record(0.1)
+    assert one.timeout_s(1.2) == 1.2
     for _ in range(8):
-        one.began(1.2)
-    assert one.wait_s(1.2) > 2.5
+        one.record(1.2)
+    assert one.timeout_s(1.2) > 2.5
     for _ in range(60):
-        one.began(0.07)
-    assert one.wait_s(1.2) == 1.2
+        one.record(0.07)
+    assert one.timeout_s(1.2) == 1.2
 
 
 def test_one_hanging_replica_does_not_make_all_wait():
     """One in seven attempts hangs: the others' answers keep the wait short."""
-    one = patience.Patience()
+    one = attempt_timeouts.StartLatency()
     for i in range(100):
-        one.began(1.2 if i % 7 == 0 else 0.07)
-    assert one.wait_s(1.2) < 2.5
+        one.record(1.2 if i % 7 == 0 else 0.07)
+    assert one.timeout_s(1.2) < 2.5
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -17,7 +17,7 @@
 
 _COUNT = st.integers(0, 1 << 40)
 _ROWS = st.dictionaries(st.text(max_size=8),
-                        st.builds(membership.Row, _COUNT, _COUNT, _COUNT),
+                        st.builds(membership.InFlight, _COUNT, _COUNT, _COUNT),
                         max_size=5)
 _PART = st.builds(prompts.Part, st.text(max_size=8), _COUNT)
 _USES = st.lists(st.builds(prompts.Use, st.text(max_size=8),
@@ -28,7 +28,7 @@
     membership.Status, st.text(max_size=8), _COUNT, _COUNT,
     st.dictionaries(st.text(max_size=8), _COUNT, max_size=3), _ROWS, _USES,
     _HOSTS, _COUNT,
-    st.lists(st.builds(membership.Answer, st.text(max_size=8), st.booleans()),
+    st.lists(st.builds(membership.Response, st.text(max_size=8), st.booleans()),
              max_size=3).map(tuple))
 
 
@@ -48,7 +48,8 @@
 
 def test_negative_counts_are_not_believed():
     """A busy replica looks empty and is flooded."""
-    status = membership.Status('a', 1, 1, {}, {'r': membership.Row(-5, 0, 0)})
+    status = membership.Status('a', 1, 1, {},
+                               {'r': membership.InFlight(-5, 0, 0)})
     with pytest.raises(msgspec.DecodeError):
         messages.decode(messages.encode(status))
 
@@ -80,15 +81,15 @@
 
     def __init__(self):
         self.loop = _Loop()
-        self.replica = knowledge.Target('r', 'z', slots=8, engine=True)
+        self.replica = knowledge.ReplicaView('r', 'z', slots=8, engine=True)
         self.work = types.SimpleNamespace(
             view=peerview.PeerView('me', {'r': self.replica}.get))
 
     def status(self, boot, seq, hosts):
-        return self.work.view.status(boot,
-                                     seq, [self.replica],
-                                     0.0,
-                                     hosts=hosts)
+        return self.work.view.build_status(boot,
+                                           seq, [self.replica],
+                                           0.0,
+                                           known_hosts=hosts)
 
 
 @pytest.fixture
@@ -107,7 +108,7 @@
 
 def test_a_message_tells_of_entries_that_were_not_known(talk):
     hosts = ('10.0.0.9', 'no address', '127.0.0.1')
-    status = membership.Status('a', 1, 1, hosts=hosts)
+    status = membership.Status('a', 1, 1, known_hosts=hosts)
     talk._received(messages.encode(status), '10.0.0.2')
     known = talk._node.work.view.members.addresses(0.0)
     assert set(known) == {'10.0.0.2', '10.0.0.9'}
@@ -135,19 +136,22 @@
     """Entries that fall out of the sums by turns though all speak."""
     _hear(talk, others)
     talk._speak()
-    assert talk._node.work.view.members.silent_s > 2 * talk.heartbeat_s()
+    assert talk._node.work.view.members.silent_after_s > 2 * talk.heartbeat_s()
 
 
 def test_a_replayed_message_tells_no_uses(talk):
     """Prompts believed kept that were pushed out long ago."""
     parts = (prompts.Part('p', 900),)
-    status = membership.Status('a', 1, 1, uses=(prompts.Use('r', parts),))
-    kept = talk._node.replica.kept
+    status = membership.Status('a',
+                               1,
+                               1,
+                               prompt_uses=(prompts.Use('r', parts),))
+    kept = talk._node.replica.prompt_cache
     talk._received(messages.encode(status), '10.0.0.2')
-    assert kept.tokens(parts) == 900
-    kept.used(tuple(prompts.Part(f'q{i}', 20000) for i in range(20)))
+    assert kept.cached_tokens(parts) == 900
+    kept.record_use(tuple(prompts.Part(f'q{i}', 20000) for i in range(20)))
     talk._received(messages.encode(status), '10.0.0.2')
-    assert kept.tokens(parts) == 0
+    assert kept.cached_tokens(parts) == 0
 
 
 def test_work_is_told_soon_and_by_one_timer(talk):
@@ -163,10 +167,10 @@
     assert talk._due is soon
 
 
-class _Seen(knowledge.Target):
+class _Seen(knowledge.ReplicaView):
     """Remembers the answers that were noted of it."""
 
-    def answered(self, ok):
+    def record_response(self, ok):
         self.seen.append(ok)
 
 
@@ -181,7 +185,7 @@
     st.lists(st.tuples(st.booleans(),
                        st.sampled_from(['told', 'twice', 'lost', 'late'])),
              min_size=1,
-             max_size=peerview.MAX_ANSWERS))
+             max_size=peerview.MAX_RESPONSES))
 def test_each_answer_is_noted_once(steps):
     """A sound replica avoided: one failed call told several times."""
     own, theirs = _seen(), _seen()
@@ -190,11 +194,11 @@
     told = []
 
     def tell(status):
-        hearer.heard('10.0.0.1', status, 0.0)
+        hearer.record_status('10.0.0.1', status, 0.0)
 
     for seq, (ok, fate) in enumerate([*steps, (True, 'told')], 1):
-        teller.answered(own, ok, 0.0)
-        status = teller.status(1, seq, [own], 0.0)
+        teller.record_response(own, ok, 0.0)
+        status = teller.build_status(1, seq, [own], 0.0)
         if fate != 'lost':
             tell(status)
         if fate == 'twice':
@@ -205,8 +209,8 @@
     assert theirs.seen == own.seen[-len(theirs.seen):]
     assert len(theirs.seen) >= len(steps)
     again = peerview.PeerView('teller', {'r': own}.get)
-    again.answered(own, False, 0.0)
-    tell(again.status(2, 1, [own], 0.0))
+    again.record_response(own, False, 0.0)
+    tell(again.build_status(2, 1, [own], 0.0))
     assert theirs.seen[-1] is False
 
 
@@ -217,8 +221,9 @@
     now = time.monotonic()
     for i in range(others):
         host = f'10.0.{i // 250}.{i % 250 + 2}'
-        members.heard(host, membership.Status(f'e{i}', 1, 1), now - 20.0)
-        members.heard(host, membership.Status(f'e{i}', 1, 2), now)
-    assert len(talk._told(members.live(now), now)) == 1
-    members.heard('10.9.9.9', membership.Status('new', 1, 1), now)
-    assert talk._told(members.live(now), now) == ['10.9.9.9']
+        members.record_status(host, membership.Status(f'e{i}', 1, 1),
+                              now - 20.0)
+        members.record_status(host, membership.Status(f'e{i}', 1, 2), now)
+    assert len(talk._told(members.live_hosts(now), now)) == 1
+    members.record_status('10.9.9.9', membership.Status('new', 1, 1), now)
+    assert talk._told(members.live_hosts(now), now) == ['10.9.9.9']
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -9,7 +9,7 @@
 from gorsefall.policy import costs
 from gorsefall.policy import knowledge
 from gorsefall.policy import placement
-from gorsefall.policy import split
+from gorsefall.policy import partition
 
 
 def test_long_answers_stay_on_time_beside_a_burst_of_long_prompts():
@@ -47,7 +47,7 @@
     bank = loads.FLIGHT_BANK.changed(fetch_ms=0.0)
     after = loads.means(bank, policies.unrefused).on_time
     worth = loads.means(bank).worth
-    monkeypatch.setattr(costs, 'REREAD', 0.0)
+    monkeypatch.setattr(costs, 'REPEATED_PREFILL_WEIGHT', 0.0)
     before = loads.means(bank, policies.unrefused).on_time
     assert after['chat'] > max(0.59 + 0.2, before['chat'] + 0.1)
     assert after['digest'] > max(0.65 + 0.1, before['digest'])
@@ -64,19 +64,25 @@
 
 def _targets(count, **fields):
     return [
-        knowledge.Target(name=f'r{i}', zone='z', slots=8, engine=True, **fields)
-        for i in range(count)
+        knowledge.ReplicaView(name=f'r{i}',
+                              zone='z',
+                              slots=8,
+                              engine=True,
+                              **fields) for i in range(count)
     ]
 
 
 def test_sessions_move_only_when_their_home_leaves():
     """Prompts read again at every change of the replicas."""
     targets = _targets(6)
-    before = {s: placement.home(targets, s).name for s in map(str, range(200))}
+    before = {
+        s: placement.affinity_replica(targets, s).name
+        for s in map(str, range(200))
+    }
     left = targets[1:]
     for session, name in before.items():
         if name != 'r0':
-            assert placement.home(left, session).name == name
+            assert placement.affinity_replica(left, session).name == name
 
 
 def test_every_entry_keeps_the_same_replicas_quiet():
@@ -84,19 +90,22 @@
     targets = _targets(5)
     shuffled = random.Random(1).sample(targets, 5)
     for count in range(5):
-        assert split.quiet(targets, count) == split.quiet(shuffled, count)
-        assert len(split.quiet(targets, count)) == count
+        assert partition.select_engines(targets,
+                                        count) == partition.select_engines(
+                                            shuffled, count)
+        assert len(partition.select_engines(targets, count)) == count
 
 
 def _chosen(targets, want, now):
-    return placement.choose(targets, want, placement.Service(), now).target.name
+    return placement.choose(targets, want, placement.ServiceState(),
+                            now).target.name
 
 
 def test_a_failing_replica_is_left_and_tried_again():
     """Black hole: a replica that fails fast looks idle and draws all work."""
     targets = _targets(3)
-    want = knowledge.Want(zone='z')
-    targets[0].failed(0.0)
+    want = knowledge.RequestProfile(zone='z')
+    targets[0].record_failure(0.0)
     picked = {_chosen(targets, want, 0.1) for _ in range(50)}
     assert picked == {'r1', 'r2'}
     for target in targets[1:]:
@@ -108,23 +117,24 @@
     """Grey replica: its health is good and half of its answers are not."""
     targets = _targets(3)
     for _ in range(20):
-        targets[0].answered(False)
-        targets[1].answered(True)
-        targets[2].answered(True)
-    want = knowledge.Want(zone='z')
+        targets[0].record_response(False)
+        targets[1].record_response(True)
+        targets[2].record_response(True)
+    want = knowledge.RequestProfile(zone='z')
     picked = {_chosen(targets, want, 0.0) for _ in range(50)}
     assert picked == {'r1', 'r2'}
 
 
 def _named(names):
     return [
-        knowledge.Target(name=n, zone='z', slots=64, engine=True) for n in names
+        knowledge.ReplicaView(name=n, zone='z', slots=64, engine=True)
+        for n in names
     ]
 
 
 def _chats_behind(loss):
     """Returns the chats on time with the quiet engine behind a lossy link."""
-    quiet = split.quiet(_named([f'e{i}' for i in range(5)]), 1)
+    quiet = partition.select_engines(_named([f'e{i}' for i in range(5)]), 1)
     return loads.means(loads.AUTHORITY,
                        loss=dict.fromkeys(quiet, loss)).on_time['chat']
 
@@ -141,18 +151,20 @@
     Figures: 6 seeds, on time in 0.71 and 0.72 of cases against 0.49 and 0.30.
     """
     after = _chats_behind(loss)
-    monkeypatch.setattr(costs, 'HELD_UP_MS', 0.0)
+    monkeypatch.setattr(costs, 'STALL_MS', 0.0)
     assert after > _chats_behind(loss) + more
 
 
 def test_prompts_are_not_moved_by_a_lossy_link():
     """What reads for long bears a pause; moving it costs a prompt anew."""
-    want = knowledge.Want(zone='z', tokens=9000, tokens_out=60)
+    want = knowledge.RequestProfile(zone='z', tokens=9000, tokens_out=60)
     lossy, sound = _named(['e0', 'e1'])
     for _ in range(20):
-        lossy.link.came(5, 5.0, held_up=True)
-    cost = costs.Costs(want, placement.Service(), [lossy, sound], 5.0)
-    at_lossy, at_sound = (cost.total_ms(p, at_home=True) for p in cost.places)
+        lossy.link.record_events(5, 5.0, held_up=True)
+    cost = costs.PlacementCosts(want, placement.ServiceState(), [lossy, sound],
+                                5.0)
+    at_lossy, at_sound = (
+        cost.total_ms(p, at_home=True) for p in cost.candidates)
     assert at_lossy == at_sound
 
 
@@ -160,14 +172,14 @@
     """Symptom: long answers stay behind a lossy link at a customer whose
     events hold few tokens. Cause: an answer's events were counted by another
     customer's data sheet."""
-    want = knowledge.Want(zone='z', tokens=600, tokens_out=300)
+    want = knowledge.RequestProfile(zone='z', tokens=600, tokens_out=300)
     weights = []
     for event_tokens in (6, 3):
         lossy, = _named(['e0'])
         for _ in range(100):
-            lossy.link.came(1, 5.0)
-        lossy.link.came(1, 5.0, held_up=True)
-        service = placement.Service(event_tokens=event_tokens)
-        cost = costs.Costs(want, service, [lossy], 5.0)
-        weights.append(cost.total_ms(cost.places[0]))
+            lossy.link.record_events(1, 5.0)
+        lossy.link.record_events(1, 5.0, held_up=True)
+        service = placement.ServiceState(event_tokens=event_tokens)
+        cost = costs.PlacementCosts(want, service, [lossy], 5.0)
+        weights.append(cost.total_ms(cost.candidates[0]))
     assert weights[1] > weights[0] + 100
--- a/tests/test_prompts.py
+++ b/tests/test_prompts.py
@@ -10,21 +10,24 @@
 
 
 def test_a_part_counts_only_behind_all_before_it():
-    kept = prompts.Kept(100_000)
-    kept.used((SESSION,))
-    assert kept.tokens((DOC, SESSION)) == 0
-    kept.used((DOC,))
-    assert kept.tokens((DOC, SESSION)) == 6300
-    assert kept.tokens((DOC, prompts.Part('other', 900))) == 2500
+    kept = prompts.PromptCache(100_000)
+    kept.record_use((SESSION,))
+    assert kept.cached_tokens((DOC, SESSION)) == 0
+    kept.record_use((DOC,))
+    assert kept.cached_tokens((DOC, SESSION)) == 6300
+    assert kept.cached_tokens((DOC, prompts.Part('other', 900))) == 2500
 
 
 def test_the_longest_unused_count_as_gone():
     """Symptom: requests sent to a home that reads their prompt anew each time
     while it is taken for kept. Cause: memory taken for endless."""
-    kept = prompts.Kept(10_000)
+    kept = prompts.PromptCache(10_000)
     for i in range(10):
-        kept.used((prompts.Part(f'p{i}', 1500),))
-    held = [i for i in range(10) if kept.tokens((prompts.Part(f'p{i}', 1500),))]
+        kept.record_use((prompts.Part(f'p{i}', 1500),))
+    held = [
+        i for i in range(10)
+        if kept.cached_tokens((prompts.Part(f'p{i}', 1500),))
+    ]
     assert held == [6, 7, 8, 9]
 
 
@@ -34,8 +37,8 @@
                       max_size=4),
              max_size=60))
 def test_what_is_kept_fits_the_memory(uses):
-    kept = prompts.Kept(10_000)
+    kept = prompts.PromptCache(10_000)
     for parts in uses:
-        kept.used(tuple(prompts.Part(*p) for p in parts))
+        kept.record_use(tuple(prompts.Part(*p) for p in parts))
         assert sum(kept._parts.values()) == kept._size
-        assert kept._size <= prompts.KEPT_SHARE * 10_000
+        assert kept._size <= prompts.CACHE_SHARE * 10_000
--- a/tests/test_revocation.py
+++ b/tests/test_revocation.py
@@ -45,7 +45,7 @@
 
 def _grant(table, key, *, strict):
     entry = types.SimpleNamespace(table=table,
-                                  proof=freshness.Proof(1.0),
+                                  proof=freshness.Confirmation(1.0),
                                   cfg=_settings(strict_revocation=strict))
     req = model.CallerRequest(id='1',
                               method=b'GET',
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -107,7 +107,8 @@
     _play(site, 10.0)
     before = site.calls()
     _play(site, 20.0)
-    leaders = max(readers.LEAST, -(-len(site.entries) // readers.EACH))
+    leaders = max(readers.MIN_READERS,
+                  -(-len(site.entries) // readers.ENTRIES_PER_READER))
     assert len(site.leaders()) == leaders
     most = (20.0 / entries.SHARED.wait_s + 1) * leaders
     assert site.calls() - before <= most
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -16,23 +16,25 @@
 
 def test_before_the_signal_nothing_ends():
     stop = shutdown.Shutdown()
-    assert stop.takes(1e9) and not stop.late(1e9)
-    assert not stop.over(1e9, busy=False)
+    assert stop.accepts_requests(1e9) and not stop.is_overdue(1e9)
+    assert not stop.is_finished(1e9, busy=False)
 
 
 def test_requests_are_taken_until_the_balancer_has_noticed():
     stop = _begun()
-    assert stop.takes(102.9) and not stop.over(102.9, busy=False)
-    assert not stop.takes(103.0) and stop.over(103.0, busy=False)
+    assert stop.accepts_requests(102.9) and not stop.is_finished(102.9,
+                                                                 busy=False)
+    assert not stop.accepts_requests(103.0) and stop.is_finished(103.0,
+                                                                 busy=False)
 
 
 def test_what_runs_may_end_until_it_is_late():
     stop = _begun()
-    assert not stop.over(107.2, busy=True) and not stop.late(107.2)
-    assert stop.over(107.3, busy=True) and stop.late(107.3)
+    assert not stop.is_finished(107.2, busy=True) and not stop.is_overdue(107.2)
+    assert stop.is_finished(107.3, busy=True) and stop.is_overdue(107.3)
 
 
 def test_a_second_signal_changes_nothing():
     stop = _begun()
     assert not stop.begin(106.0, lame_duck_s=3.0, limit_s=7.3)
-    assert stop.over(107.3, busy=True)
+    assert stop.is_finished(107.3, busy=True)
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -17,7 +17,7 @@
 
 
 def _target():
-    return knowledge.Target(name='e', zone='z', slots=64, engine=True)
+    return knowledge.ReplicaView(name='e', zone='z', slots=64, engine=True)
 
 
 def _played(gaps, answers=4):
@@ -26,10 +26,10 @@
     link = target.link
     now = 0.0
     for _ in range(answers):
-        pulse = stalls.Pulse(target)
+        pulse = stalls.StreamMonitor(target)
         for gap, events in gaps:
             now += gap
-            pulse.came(events, now)
+            pulse.record_events(events, now)
     return link, now
 
 
@@ -54,36 +54,37 @@
     ])
 def test_losses_and_reading_are_told_apart(gaps, lossy):
     link, now = _played(gaps)
-    assert (link.chance(ANSWER, now) > 0.7) == lossy, link.chance(ANSWER, now)
+    assert (link.stall_probability(ANSWER, now)
+            > 0.7) == lossy, link.stall_probability(ANSWER, now)
 
 
 def test_a_caller_that_does_not_read_is_no_loss():
     target = _target()
     link = target.link
-    pulse = stalls.Pulse(target)
+    pulse = stalls.StreamMonitor(target)
     now = 0.0
     for _ in range(20):
-        pulse.came(1, now)
-        pulse.paused()
+        pulse.record_events(1, now)
+        pulse.record_pause()
         now += 1.0
-        pulse.came(9, now)
+        pulse.record_events(9, now)
         now += 0.03
-    assert link.chance(ANSWER, now) < 0.3
+    assert link.stall_probability(ANSWER, now) < 0.3
 
 
 def test_one_loss_is_no_sign():
     """Links lose a packet now and then; a session that leaves its home for
     that has its prompt read again."""
     link, now = _played([*STEADY, (0.25, 8), *STEADY], answers=1)
-    assert link.chance(ANSWER, now) < 0.8
+    assert link.stall_probability(ANSWER, now) < 0.8
 
 
 def test_losses_are_forgotten():
     """Symptom: a replica is left alone for good. Sequence: its link lost
     packets, nothing is sent there, so nothing shows that it is sound."""
     link, now = _played([*STEADY, (0.25, 8)] * 3)
-    assert link.chance(ANSWER, now) > 0.85
-    assert link.chance(ANSWER, now + 25.0) < 0.3
+    assert link.stall_probability(ANSWER, now) > 0.85
+    assert link.stall_probability(ANSWER, now + 25.0) < 0.3
 
 
 @pytest.mark.parametrize('tokens_out', [60, 300, 1500])
@@ -93,4 +94,4 @@
     takes its place; long answers avoid it, so nothing is ever seen of it.
     Cause: what was guessed of it weighed more than what was seen of others.
     """
-    assert stalls.Link().chance(tokens_out, 5.0) == 0.0
+    assert stalls.LinkQuality().stall_probability(tokens_out, 5.0) == 0.0
