--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -8,7 +8,7 @@
 from gorsefall.policy import suspects
 from gorsefall.relay import crashes
 
-YOUNG, OLD = suspects.Weight.YOUNG, suspects.Weight.OLD
+YOUNG, OLD = suspects.CrashWeight.YOUNG, suspects.CrashWeight.OLD
 CONTACT_S = 5.0
 MOST_AFTER = 3
 
@@ -21,36 +21,36 @@
     """One request that takes down replica after replica."""
     known = suspects.Suspects()
     for i in range(3):
-        assert not known.blocked(b'x', 10.0 * i)
-        known.crashed(b'x', _crash(i), YOUNG, 10.0 * i)
-    assert known.blocked(b'x', 21.0)
+        assert not known.is_blocked(b'x', 10.0 * i)
+        known.record_crash(b'x', _crash(i), YOUNG, 10.0 * i)
+    assert known.is_blocked(b'x', 21.0)
 
 
 def test_a_crash_counts_once_whoever_tells_it():
     """A good request shut out as several entries saw the same crash."""
     known = suspects.Suspects()
     for i in range(9):
-        known.crashed(b'x', _crash(1), YOUNG, 0.01 * i)
-    assert not known.blocked(b'x', 1.0)
+        known.record_crash(b'x', _crash(1), YOUNG, 0.01 * i)
+    assert not known.is_blocked(b'x', 1.0)
 
 
 def test_a_run_that_ends_clears():
     """A good request shut out as replicas crashed under it over the days."""
     known = suspects.Suspects()
     for i in range(9):
-        known.crashed(b'x', _crash(i), YOUNG, 10.0 * i)
-        known.ran(b'x', 10.0 * i + 5)
-    assert not known.held(b'x')
+        known.record_crash(b'x', _crash(i), YOUNG, 10.0 * i)
+        known.record_completion(b'x', 10.0 * i + 5)
+    assert not known.must_serialize(b'x')
 
 
 def test_who_was_beside_the_guilty_is_not_blamed():
     """Good requests shut out that followed a guilty one to its replicas."""
     known = suspects.Suspects()
     for i in range(4):
-        known.crashed(b'guilty', _crash(i), YOUNG, 10.0 * i)
+        known.record_crash(b'guilty', _crash(i), YOUNG, 10.0 * i)
         if i < 3:
-            known.crashed(b'good', _crash(i), YOUNG, 10.0 * i)
-    assert known.blamed == [b'guilty']
+            known.record_crash(b'good', _crash(i), YOUNG, 10.0 * i)
+    assert known.poison_requests == [b'guilty']
 
 
 def test_replicas_that_end_together_speak_less_against_their_requests():
@@ -58,33 +58,33 @@
     known = suspects.Suspects()
     for burst in range(3):
         for i in range(12):
-            known.crashed(b'%d' % (i if i else 0), _crash(12 * burst + i),
-                          YOUNG, 5.0 * burst + 0.001 * i)
-    assert not known.blamed
+            known.record_crash(b'%d' % (i if i else 0), _crash(12 * burst + i),
+                               YOUNG, 5.0 * burst + 0.001 * i)
+    assert not known.poison_requests
 
 
 def test_a_blamed_request_is_tried_once_more_after_its_hold():
     """A request shut out for good that a new version of its service bears."""
     known = suspects.Suspects()
     for i in range(3):
-        known.crashed(b'x', _crash(i), YOUNG, 10.0 * i)
-    later = 20.0 + suspects.HOLD_S + 1
-    assert not known.blocked(b'x', later)
-    known.crashed(b'x', _crash(3), YOUNG, later)
-    assert known.blocked(b'x', later + suspects.HOLD_S + 1)
-    known.ran(b'x', later + 2 * suspects.HOLD_S)
-    assert not known.blamed
+        known.record_crash(b'x', _crash(i), YOUNG, 10.0 * i)
+    later = 20.0 + suspects.BLOCK_S + 1
+    assert not known.is_blocked(b'x', later)
+    known.record_crash(b'x', _crash(3), YOUNG, later)
+    assert known.is_blocked(b'x', later + suspects.BLOCK_S + 1)
+    known.record_completion(b'x', later + 2 * suspects.BLOCK_S)
+    assert not known.poison_requests
 
 
 def test_what_is_remembered_is_bounded():
     """Memory that grows with each crash; the gravest stay."""
     known = suspects.Suspects()
     for i in range(3):
-        known.crashed(b'guilty', _crash(i), YOUNG, float(i))
+        known.record_crash(b'guilty', _crash(i), YOUNG, float(i))
     for i in range(3 * suspects.MAX_SUSPECTS):
-        known.crashed(b'%d' % i, _crash(1000 + i % 50), YOUNG, 10.0 + i)
+        known.record_crash(b'%d' % i, _crash(1000 + i % 50), YOUNG, 10.0 + i)
     assert len(known) <= suspects.MAX_SUSPECTS
-    assert known.blocked(b'guilty', 20.0)
+    assert known.is_blocked(b'guilty', 20.0)
 
 
 _EVENTS = st.lists(st.tuples(st.sampled_from([b'a', b'b', b'c']),
@@ -95,9 +95,9 @@
 def _tell(known, events):
     for at, (digest, number, weight) in events:
         if number < 0:
-            known.ran(digest, float(at))
+            known.record_completion(digest, float(at))
         else:
-            known.crashed(digest, _crash(number), weight, float(at))
+            known.record_crash(digest, _crash(number), weight, float(at))
 
 
 def _oracle(events):
@@ -119,7 +119,7 @@
             if digest not in blamed
         }
         worst = max(weights, key=lambda d: (weights[d], d), default=None)
-        if worst is None or weights[worst] < suspects.LIMIT:
+        if worst is None or weights[worst] < suspects.POISON_WEIGHT:
             return blamed
         blamed.add(worst)
         explained.update(seen[worst])
@@ -136,7 +136,7 @@
     rng.shuffle(told)
     known = suspects.Suspects()
     _tell(known, told)
-    assert set(known.blamed) == _oracle(events)
+    assert set(known.poison_requests) == _oracle(events)
 
 
 @pytest.mark.parametrize('entries, replicas, seed', [(9, 6, 1), (9, 6, 2),
@@ -172,7 +172,7 @@
     for i in range(600):
         site.loop.later(0.01 * i, lambda i=i: site.ask(b'%d' % i, 0.5))
     site.loop.run(20.0)
-    blamed = [e.crashes.suspects.blamed for e in site.entries]
+    blamed = [e.crashes.suspects.poison_requests for e in site.entries]
     assert not any(blamed), blamed
     assert not site.good['refused'], site.good
     assert site.good['served'] > 500, site.good
@@ -186,7 +186,7 @@
     site.loop.run(10.0)
     site.entries[0].start()
     site.loop.run(10.0 + 3 * site.heartbeat_s + crashing.crashes.ASK_PAUSE_S)
-    assert site.entries[0].crashes.suspects.blocked(b'guilty', site.loop.now)
+    assert site.entries[0].crashes.suspects.is_blocked(b'guilty', site.loop.now)
 
 
 @pytest.mark.parametrize('copies', [2, 3, 5])
@@ -226,4 +226,4 @@
         entry.crashes.broke(replica, run, lambda: None)
     site.loop.run(3 * site.heartbeat_s)
     assert kept and set(kept) == {b'x'}
-    assert all(e.crashes.suspects.blocked(b'x', 2.0) for e in site.entries)
+    assert all(e.crashes.suspects.is_blocked(b'x', 2.0) for e in site.entries)
--- a/tests/test_topic.py
+++ b/tests/test_topic.py
@@ -82,15 +82,15 @@
     """A revoked key let in after a late answer."""
     now = [100.0]
     monkeypatch.setattr(freshness, 'clock', lambda: now[0])
-    proof = freshness.Proof(4.6)
-    assert not proof.valid()
+    proof = freshness.Confirmation(4.6)
+    assert not proof.is_current()
     sent_at = now[0]
     now[0] += 4.0
-    proof.confirmed(sent_at)
-    assert proof.valid()
+    proof.record_read(sent_at)
+    assert proof.is_current()
     now[0] += 1.0
-    assert not proof.valid()
+    assert not proof.is_current()
     # An older read that is answered afterwards takes nothing back.
-    proof.confirmed(now[0])
-    proof.confirmed(sent_at)
-    assert proof.valid()
+    proof.record_read(now[0])
+    proof.record_read(sent_at)
+    assert proof.is_current()
