--- a/gorsefall/policy/membership.py
+++ b/gorsefall/policy/membership.py
@@ -1,10 +1,10 @@
-"""Which other entries are there, and what each said last of its work.
+"""The other live entries and the last status that each of them sent.
 
-Replicas do not say what others sent them, so entries tell each other: each
-sends all others its own counts, whole, again and again. A lost message is
-made good by the next. Nobody decides for others and nothing is agreed: who is
-not heard is left out of the sums, and an entry that hears nobody goes by its
-own counts.
+Replicas do not report which entry sent them what, so entries exchange it: each
+one periodically sends its complete counts to all others. The next status makes
+up for a lost one. There is no leader and no agreement: an entry without a
+recent status is left out of the sums, and an entry that receives none uses its
+own counts alone.
 """
 
 import collections
@@ -18,39 +18,40 @@
 from gorsefall.policy import prompts
 
 SILENCE_TIMEOUT_S = 1.2
-"""After this time without a word an entry's counts are left out, s, where
-entries speak twice a second at least: one lost message does not matter, and a
-process that was killed has lost its requests by then."""
+"""Time without a status after which the counts of an entry are left out, s, if
+entries send at least two a second. One lost message is tolerated, and the
+requests of a killed process have ended by then."""
 
 ADDRESS_TTL_S = 15.0
-"""After this time without a word an address is not tried any more, s: a VM
-that starts again does so within a few seconds, and one that is cut off for
-longer comes back by the seeds."""
+"""Time without a status after which an address is dropped, s. A VM restarts
+within a few seconds, and one that is cut off for longer is found again through
+the seeds."""
 
 UNCONFIRMED_ADDRESS_TTL_S = 5.0
-"""The same for an address that was only told of."""
+"""The same for an address that another entry named and that has not sent a
+status itself, s."""
 
 NEW_ADDRESS_S = 6.0
-"""Time for which an address is new, s: others are told of it twice and more
-where entries speak every 2.4 s."""
+"""Time for which an address counts as new, s. Others receive it at least twice
+if entries send a status every 2.4 s."""
 
 MAX_MEMBERS = 1024
-"""Addresses kept at most: three times the entries of two years hence."""
+"""Maximum number of addresses: three times the entries planned in two years."""
 
 MAX_REPLICAS_PER_STATUS = 4096
-"""Replicas that one entry may tell of: twice those of two years hence."""
+"""Maximum number of replicas in a status: twice those planned in two years."""
 
 Count = typing.Annotated[int, msgspec.Meta(ge=0)]
-"""A number of things; a message that tells of less than none is no message."""
+"""A count; a message with a negative one is rejected as malformed."""
 
 
 class InFlight(msgspec.Struct, frozen=True, array_like=True):
-    """What one entry has under way at one replica.
+    """The work that one entry has in flight at one replica.
 
     Attributes:
-        requests: Requests sent there and not ended.
-        tokens: Prompt tokens that are to be read for those.
-        writing: Requests there that spend their time writing.
+        requests: Requests sent there that have not ended.
+        prefill_tokens: Prompt tokens still to be prefilled for them.
+        decode_heavy: Those of them that mostly decode.
     """
     requests: Count = 0
     prefill_tokens: Count = 0
@@ -67,24 +68,25 @@
 
 
 class Response(msgspec.Struct, frozen=True, array_like=True):
-    """What one answer told of its replica.
+    """The outcome of one response of a replica.
 
     Attributes:
         replica: The replica's id.
-        ok: Whether it was what the caller needed.
+        ok: Whether it served the caller's request.
     """
     replica: ids.ReplicaName
     ok: bool
 
 
 class RunReport(msgspec.Struct, frozen=True, array_like=True):
-    """That a replica crashed under a request, or that a run of it ended well.
+    """A crash of a replica under a request, or a completed run of the request.
 
     Attributes:
         digest: The request's digest.
-        age_ms: How long ago that was, ms.
-        replica: The replica's id; '' where the run came to its end.
-        born: When that start of the replica began, ms since 1970.
+        age_ms: Time since then, ms.
+        replica: The id of the crashed replica; '' for a completed run.
+        started_at_ms: When that incarnation of the replica started, ms since
+            1970.
         weight: The ``suspects.CrashWeight`` of the crash.
     """
     digest: ids.RequestDigest
@@ -95,12 +97,13 @@
 
 
 class ReplicaExit(msgspec.Struct, frozen=True, array_like=True):
-    """That one start of a replica has ended, unannounced.
+    """The unannounced exit of one incarnation of a replica.
 
     Attributes:
         replica: The replica's id.
-        born: When that start began, ms since 1970; 0 where it is not told.
-        age_ms: How long ago that was found, ms.
+        started_at_ms: When the incarnation started, ms since 1970; 0 if not
+            known.
+        age_ms: Time since the exit was detected, ms.
     """
     replica: ids.ReplicaName
     started_at_ms: Count
@@ -108,13 +111,14 @@
 
 
 class LimitReport(msgspec.Struct, frozen=True, array_like=True):
-    """What a replica announced as its limit, or that it has none any more.
+    """The rate limit that a replica announced last.
 
     Attributes:
         replica: The replica's id.
-        born: When its start began, ms since 1970; 0 where it is not told.
-        age_ms: How long ago it said so, ms.
-        per_s: Requests a second from all entries; None for no limit.
+        started_at_ms: When its incarnation started, ms since 1970; 0 if not
+            known.
+        age_ms: Time since the announcement, ms.
+        per_s: Requests per second from all entries; None for no limit.
     """
     replica: ids.ReplicaName
     started_at_ms: Count
@@ -123,25 +127,27 @@
 
 
 class Status(msgspec.Struct, frozen=True, array_like=True, tag='status'):
-    """What an entry says of itself, whole.
+    """The complete status of an entry.
 
     Attributes:
         name: Its name.
-        boot: When its process started, ms since 1970; tells starts apart.
-        seq: Counts its messages.
-        firsts: ``service -> requests`` it sent a first time in the retry
+        started_at_ms: When its process started, ms since 1970; identifies the
+            incarnation.
+        seq: Sequence number of the message.
+        first_attempts: ``service -> number`` of first attempts in the retry
             window.
-        rows: ``replica -> Row``; replicas without requests are left out.
-        uses: The ``prompts.Use`` of its last requests.
-        hosts: Some of the entries that it hears.
-        answered: Answers that it had before ``answers``, their number.
-        answers: Its last ``Answer`` objects, in order.
+        in_flight: ``replica -> InFlight``; replicas without requests are left
+            out.
+        prompt_uses: The ``prompts.Use`` objects of its last requests.
+        known_hosts: Hosts of some entries from which it receives a status.
+        responses_before: Number of responses before ``responses``.
+        responses: Its last ``Response`` objects, in order.
         zone: Its availability zone.
-        reads: Whether it can read the store for others.
-        sightings: The ``Sighting`` objects that it had of late.
-        suspects: The ``suspects.Suspects.summary`` of all that it knows.
-        limits: The ``Limit`` objects that it heard of late.
-        ended: The ``Ended`` objects that it found of late.
+        can_read_store: Whether it can read the store for others.
+        run_reports: Its recent ``RunReport`` objects.
+        suspects_summary: Its ``suspects.Suspects.summary``.
+        limit_reports: The ``LimitReport`` objects that it received recently.
+        replica_exits: The ``ReplicaExit`` objects that it detected recently.
     """
     name: str
     started_at_ms: int
@@ -160,7 +166,11 @@
     replica_exits: tuple[ReplicaExit, ...] = ()
 
     def responses_after(self, last):
-        """Returns the answers that ``last``, or None, did not tell of."""
+        """Returns the responses that are not in the status ``last``.
+
+        Args:
+            last: An earlier ``Status`` of the same entry, or None.
+        """
         if last is None or last.started_at_ms != self.started_at_ms:
             return self.responses
         known = last.responses_before + len(
@@ -168,11 +178,12 @@
         return self.responses[max(0, known):]
 
 
-def _follows(status, last, *, silent):
-    """Whether ``status`` was said after ``last``.
+def _is_newer(status, last, *, silent):
+    """Returns whether ``status`` was sent after ``last``.
 
-    A later start tells a later time, unless the VM's clock was set back; once
-    its earlier process is silent, any other start is believed.
+    A later incarnation has a later start time unless the clock of the VM was
+    set back. Once the earlier process is silent, any other start time is
+    accepted.
     """
     if status.started_at_ms == last.started_at_ms:
         return status.seq > last.seq
@@ -181,34 +192,42 @@
 
 @dataclasses.dataclass
 class _Member:
-    """An address, and its last word; None where it was only told of."""
+    """An address and its last status; None if no status has arrived yet.
+
+    Attributes:
+        since: When the address was added, s (monotonic).
+        received_at: When its last status arrived, s (monotonic).
+        status: That ``Status``.
+        counted: Whether the status is included in the sums.
+    """
     since: float
-    heard: float = float('-inf')
+    received_at: float = float('-inf')
     status: Status | None = None
     counted: bool = False
 
 
 class Members:
-    """The other entries by address, and the sums of what they say.
+    """The other entries by address, and the sums of their counts.
 
     Attributes:
         name: This entry's name.
-        silent_s: Time without a word after which an entry is left out, s; it
-            has to be longer than two of the pauses in which entries speak.
+        silent_after_s: Time without a status after which an entry is left out,
+            s. It has to be longer than two of the intervals at which entries
+            send their status.
     """
 
     def __init__(self, name):
         self.name = name
         self.silent_after_s = SILENCE_TIMEOUT_S
         self._members = {}
-        self._rows = collections.defaultdict(lambda: NO_REQUESTS)
-        self._firsts = collections.Counter()
+        self._in_flight = collections.defaultdict(lambda: NO_REQUESTS)
+        self._first_attempts = collections.Counter()
         self._counted = 0
 
-    # -- who is there ----------------------------------------------------------
+    # -- addresses -------------------------------------------------------------
 
     def add_address(self, host, now):
-        """Notes that an entry may be at ``host``."""
+        """Adds the address of a possible entry."""
         if host not in self._members and len(self._members) < MAX_MEMBERS:
             self._members[host] = _Member(since=now)
 
@@ -218,11 +237,14 @@
         return member.status if member is not None else None
 
     def record_status(self, host, status, now):
-        """Takes in a ``Status``; returns whether it says something new.
+        """Records a ``Status`` and updates the sums.
+
+        A stale message is ignored, and so is a message of an earlier process
+        at the same address: after a restart it would count requests that no
+        longer exist.
 
-        A message that was overtaken is passed over, and so is one of a
-        process before the one that speaks there now: after a restart it would
-        bring back requests that are gone.
+        Returns:
+            True if the status is newer than the last one of the address.
         """
         if status.name == self.name or len(
                 status.in_flight) > MAX_REPLICAS_PER_STATUS:
@@ -232,23 +254,23 @@
             if len(self._members) >= MAX_MEMBERS:
                 return False
             member = self._members[host] = _Member(since=now)
-        if member.status is not None and not _follows(status,
-                                                      member.status,
-                                                      silent=now - member.heard
-                                                      > self.silent_after_s):
+        if member.status is not None and not _is_newer(
+                status,
+                member.status,
+                silent=now - member.received_at > self.silent_after_s):
             return False
-        self._leave_out(member)
+        self._remove_counts(member)
         if member.status is not None:
-            self._firsts.subtract(member.status.first_attempts)
-        member.status, member.heard = status, now
-        self._firsts.update(status.first_attempts)
-        self._count_in(member)
+            self._first_attempts.subtract(member.status.first_attempts)
+        member.status, member.received_at = status, now
+        self._first_attempts.update(status.first_attempts)
+        self._add_counts(member)
         return True
 
     def addresses(self, now):
-        """Returns the hosts to speak to; forgets those long silent."""
+        """Returns the hosts to send to; drops expired addresses."""
         for host, member in list(self._members.items()):
-            since = max(member.since, member.heard)
+            since = max(member.since, member.received_at)
             bound = (UNCONFIRMED_ADDRESS_TTL_S
                      if member.status is None else ADDRESS_TTL_S)
             if now - since > bound:
@@ -257,73 +279,77 @@
 
     def _forget(self, host):
         member = self._members.pop(host)
-        self._leave_out(member)
+        self._remove_counts(member)
         if member.status is not None:
-            self._firsts.subtract(member.status.first_attempts)
-            self._firsts += collections.Counter()
+            self._first_attempts.subtract(member.status.first_attempts)
+            self._first_attempts += collections.Counter()
 
     def live_hosts(self, now):
-        """Returns the hosts that spoke of late."""
+        """Returns the hosts of entries with a recent status."""
         self.expire(now)
         return [h for h, m in self._members.items() if m.counted]
 
     def new_hosts(self, now):
-        """Returns the hosts that spoke of late and were not known before."""
+        """Returns those of the live hosts whose address is new."""
         return [
             h for h in self.live_hosts(now)
             if now - self._members[h].since < NEW_ADDRESS_S
         ]
 
     def live_statuses(self, now):
-        """Returns ``(host, status)`` of each entry that spoke of late."""
+        """Returns ``(host, status)`` of each entry with a recent status."""
         return [
             (host, self._members[host].status) for host in self.live_hosts(now)
         ]
 
     def mean_status_age_s(self, now):
-        """Returns the mean age of what the others said last, s."""
-        ages = [now - m.heard for m in self._members.values() if m.counted]
+        """Returns the mean age of the recent statuses, s; 0 for none."""
+        ages = [
+            now - m.received_at for m in self._members.values() if m.counted
+        ]
         return statistics.fmean(ages) if ages else 0.0
 
     def expire(self, now):
-        """Leaves out who is silent."""
+        """Leaves entries without a recent status out of the sums."""
         for member in self._members.values():
-            if member.counted and now - member.heard > self.silent_after_s:
-                self._leave_out(member)
+            if (member.counted and
+                    now - member.received_at > self.silent_after_s):
+                self._remove_counts(member)
 
-    # -- what they say ---------------------------------------------------------
+    # -- sums ------------------------------------------------------------------
 
     @property
     def alone(self):
-        """Whether nobody else is heard."""
+        """Whether no other entry has sent a recent status."""
         return not self._counted
 
     def in_flight(self, replica):
-        """Returns the ``Row`` of all others together at a replica."""
-        return self._rows.get(replica, NO_REQUESTS)
+        """Returns the ``InFlight`` of all other entries at a replica."""
+        return self._in_flight.get(replica, NO_REQUESTS)
 
     def first_attempts(self, service):
-        """Returns the requests that all others sent a first time.
+        """Returns the number of first attempts of all other entries.
 
-        Who fell silent counts until it is forgotten: it may be cut off from
-        here alone, and go on taking its part of what all may take.
+        An entry without a recent status counts until its address is dropped:
+        it may be cut off from this entry alone and still send its share of
+        the retries that all entries may send.
         """
-        return self._firsts[service]
+        return self._first_attempts[service]
 
-    def _count_in(self, member):
+    def _add_counts(self, member):
         member.counted = True
         self._counted += 1
-        for replica, row in member.status.in_flight.items():
-            self._rows[replica] = self._rows[replica].add(row)
+        for replica, work in member.status.in_flight.items():
+            self._in_flight[replica] = self._in_flight[replica].add(work)
 
-    def _leave_out(self, member):
+    def _remove_counts(self, member):
         if not member.counted:
             return
         member.counted = False
         self._counted -= 1
-        for replica, row in member.status.in_flight.items():
-            left = self._rows[replica].add(row, -1)
-            if left == NO_REQUESTS:
-                del self._rows[replica]
+        for replica, work in member.status.in_flight.items():
+            remaining = self._in_flight[replica].add(work, -1)
+            if remaining == NO_REQUESTS:
+                del self._in_flight[replica]
             else:
-                self._rows[replica] = left
+                self._in_flight[replica] = remaining
--- a/gorsefall/policy/suspects.py
+++ b/gorsefall/policy/suspects.py
@@ -1,11 +1,12 @@
-"""Which requests crash the replicas that run them, from all entries' sightings.
-
-All that ran at a replica as it ended is suspect, and one request of it at most
-is guilty. A request is cleared by a run that comes to its end. Of those left,
-the one that most crashes speak against is blamed, and the crashes that it
-explains speak against no other. A crash speaks less where other replicas ended
-with it: one cause took them all, and the request was at one. What entries saw
-merges in any order and however often it is told: a crash counts once.
+"""Which requests crash the replicas that run them, by all entries' reports.
+
+Every request that ran at a replica when its process exited becomes a suspect,
+and at most one of them caused the exit. A completed run clears a request. Of
+the remaining suspects, the one with the highest crash weight is the poison
+request, and the crashes that it explains no longer count against any other
+suspect. A crash weighs less if other replicas exited at the same time without
+this request: such exits have a common cause. Reports of several entries merge
+in any order and may be repeated: each crash counts once.
 """
 
 import dataclasses
@@ -16,58 +17,66 @@
 from gorsefall import ids
 
 YOUNG_RUN_S = 0.5
-"""Time since its first event up to which a run has only just begun, s: what
-crashes its replica does so as it begins."""
+"""Age since its first event up to which a run counts as young, s: a request
+that crashes its replica does so at the start of its run."""
 
 COMMON_CAUSE_S = 0.1
-"""Time within which replicas end together, s: entries see it to some 10 ms."""
+"""Time within which exits of several replicas have a common cause, s. Entries
+observe an exit with an error of about 10 ms."""
 
 POISON_WEIGHT = 6
-"""Weight of crashes at which a request is blamed: three under young runs."""
+"""Total crash weight from which on a request is a poison request: three crashes
+under young runs."""
 
 SERIALIZE_WEIGHT = 4
-"""Weight from which on one more crash has it blamed: it is not sent to another
-replica by itself, nor while a run of it is under way."""
+"""Total crash weight from which on a request runs at one replica at a time: one
+more crash may make it a poison request, so it is neither retried nor sent to a
+second replica while a run of it is in progress."""
 
 REPORT_MIN_CRASHES = 2
-"""Crashes under a request from which on entries see to it that all know."""
+"""Crashes under a request from which on entries make sure that every other
+entry has received them."""
 
 BLOCK_S = 600.0
-"""Time for which a request is blocked after its last crash, s; then one run of
-it shows whether its service bears it by now."""
+"""Time for which a poison request is blocked after its last crash, s. After it
+one run shows whether the service can handle the request by now."""
 
 MAX_DOUBLINGS = 6
-"""Times that the hold doubles, once for each further crash: up to ten hours."""
+"""Maximum number of times that the block time doubles, once for each further
+crash: up to ten hours."""
 
 FORGET_AFTER_BLOCKS = 2
-"""Holds after which a request is forgotten."""
+"""Block times after the last report until a request is forgotten."""
 
 MAX_SUSPECTS = 1024
-"""Requests remembered at most, 0.6 MB: twice what was under way at a quarter of
-50 engines."""
+"""Maximum number of requests kept, 0.6 MB: twice the requests in progress at a
+quarter of 50 engines."""
 
 MAX_REPLICA_EXITS = 256
-"""Ends of replicas remembered at most."""
+"""Maximum number of replica exits kept."""
 
 MAX_CRASHES_PER_REQUEST = 12
-"""Crashes remembered of a request; it is blamed by then."""
+"""Maximum number of crashes kept for a request; it is a poison request by
+then."""
 
 SUMMARY_BYTES = 7
-"""A number of this size is a signed integer on any wire."""
+"""Size of the summary: with 8 bytes it could exceed a signed 64-bit integer,
+which not every encoding can carry."""
 
 
 class CrashWeight(enum.IntEnum):
-    """How much a crash speaks against a run that it cut."""
+    """How strongly a crash incriminates a request that ran at the replica."""
     OLD = 1
     YOUNG = 2
 
 
 class Crash(typing.NamedTuple):
-    """The end of one start of a replica.
+    """The unexpected exit of one incarnation of a replica.
 
     Attributes:
         replica: The replica's id.
-        born: When that start began, ms since 1970; 0 where it is not told.
+        started_at_ms: When the incarnation started, ms since 1970; 0 if not
+            known.
     """
     replica: ids.ReplicaName
     started_at_ms: int = 0
@@ -78,8 +87,8 @@
     """A crash under a request.
 
     Attributes:
-        weight: The ``Weight``.
-        at: When it was seen, s (monotonic).
+        weight: The ``CrashWeight``.
+        seen_at: When the crash was observed, s (monotonic).
     """
     weight: CrashWeight
     seen_at: float
@@ -87,28 +96,28 @@
 
 @dataclasses.dataclass
 class Suspect:
-    """What is known of one request.
+    """The reports on one request.
 
     Attributes:
-        sightings: ``Crash -> Sighting``.
-        ran_at: When a run of it came to its end last, s (monotonic).
+        crashes: ``Crash -> CrashRecord``.
+        last_completed_at: When a run of it was last completed, s (monotonic).
     """
     crashes: dict[Crash, CrashRecord] = dataclasses.field(default_factory=dict)
     last_completed_at: float = float('-inf')
 
     @property
     def last_seen_at(self):
-        """When something was seen of it last, s."""
-        return max((s.seen_at for s in self.crashes.values()),
+        """Time of the last report on the request, s."""
+        return max((r.seen_at for r in self.crashes.values()),
                    default=self.last_completed_at)
 
     def clear_before(self, at):
-        """Drops what was seen before a run that ended at ``at``."""
+        """Drops the crashes before a run that was completed at ``at``."""
         self.last_completed_at = max(self.last_completed_at, at)
         self.crashes = {
-            c: s
-            for c, s in self.crashes.items()
-            if s.seen_at > self.last_completed_at
+            c: r
+            for c, r in self.crashes.items()
+            if r.seen_at > self.last_completed_at
         }
 
 
@@ -117,24 +126,28 @@
 
     def __init__(self):
         self._suspects = {}
-        self._grave = set()
-        self._ends = {}
-        self._blamed = set()
+        self._reportable = set()
+        self._exits = {}
+        self._poison = set()
         self._summary = 0
 
     def __len__(self):
         return len(self._suspects)
 
-    # -- what was seen ---------------------------------------------------------
+    # -- recording -------------------------------------------------------------
 
     def record_crash(self, digest, crash, weight, at):
-        """Notes a crash under a request; returns whether it is news.
+        """Records a crash under a request.
 
         Args:
             digest: The ``ids.RequestDigest``.
             crash: The ``Crash``.
-            weight: The ``Weight``.
-            at: When it was seen, s (monotonic).
+            weight: The ``CrashWeight``.
+            at: When it was observed, s (monotonic).
+
+        Returns:
+            True if the crash was not recorded before, or only with a lower
+            weight.
         """
         suspect = self._suspects.get(digest)
         if suspect is None:
@@ -144,78 +157,84 @@
             if weight <= known.weight:
                 return False
             known.weight = weight
-        elif at <= suspect.last_completed_at or len(
-                suspect.crashes) >= MAX_CRASHES_PER_REQUEST:
+        elif (at <= suspect.last_completed_at or
+              len(suspect.crashes) >= MAX_CRASHES_PER_REQUEST):
             return False
         else:
             suspect.crashes[crash] = CrashRecord(weight, at)
-            self._note_end(crash, at)
-        self._bound(digest)
-        self._changed(digest)
+            self._record_exit(crash, at)
+        self._evict(digest)
+        self._update(digest)
         return True
 
     def record_completion(self, digest, at):
-        """Notes that a run came to its end; returns whether that is news."""
+        """Records that a run was completed at ``at``, s (monotonic).
+
+        Returns:
+            False if a later completion was recorded before.
+        """
         suspect = self._suspects.setdefault(digest, Suspect())
         if at <= suspect.last_completed_at:
             return False
         suspect.clear_before(at)
-        self._bound(digest)
-        self._changed(digest)
+        self._evict(digest)
+        self._update(digest)
         return True
 
-    def _note_end(self, crash, at):
-        self._ends[crash] = min(at, self._ends.get(crash, at))
-        if len(self._ends) > MAX_REPLICA_EXITS:
-            del self._ends[min(self._ends, key=self._ends.get)]
+    def _record_exit(self, crash, at):
+        self._exits[crash] = min(at, self._exits.get(crash, at))
+        if len(self._exits) > MAX_REPLICA_EXITS:
+            del self._exits[min(self._exits, key=self._exits.get)]
 
-    def _bound(self, newest):
+    def _evict(self, newest):
         if len(self._suspects) > MAX_SUSPECTS:
-            least = min((d for d in self._suspects if d != newest),
-                        key=lambda d: (len(self._suspects[d].crashes), self.
-                                       _suspects[d].last_seen_at))
-            del self._suspects[least]
-            self._grave.discard(least)
+            victim = min((d for d in self._suspects if d != newest),
+                         key=lambda d: (len(self._suspects[d].crashes), self.
+                                        _suspects[d].last_seen_at))
+            del self._suspects[victim]
+            self._reportable.discard(victim)
 
     def expire(self, now):
-        """Forgets requests that nothing was seen of for long."""
-        old = [
+        """Forgets requests without a report for ``FORGET_AFTER_BLOCKS``."""
+        expired = [
             digest for digest, suspect in self._suspects.items() if now -
-            suspect.last_seen_at > FORGET_AFTER_BLOCKS * self._hold_s(digest)
+            suspect.last_seen_at > FORGET_AFTER_BLOCKS * self._block_s(digest)
         ]
-        for digest in old:
+        for digest in expired:
             del self._suspects[digest]
-            self._changed(digest)
+            self._update(digest)
 
-    # -- what follows ----------------------------------------------------------
+    # -- conclusions -----------------------------------------------------------
 
-    def _changed(self, digest):
+    def _update(self, digest):
         suspect = self._suspects.get(digest)
         if suspect is not None and len(suspect.crashes) >= REPORT_MIN_CRASHES:
-            self._grave.add(digest)
-        elif digest in self._grave:
-            self._grave.remove(digest)
+            self._reportable.add(digest)
+        elif digest in self._reportable:
+            self._reportable.remove(digest)
         else:
             return
-        self._blame()
-        self._summary = self._summed()
+        self._find_poison_requests()
+        self._summary = self._compute_summary()
 
-    def _blame(self):
-        """Finds the guilty, each by the crashes that no other explains."""
-        left = [d for d in self._grave if self.weight(d) >= POISON_WEIGHT]
+    def _find_poison_requests(self):
+        """Finds poison requests by the crashes that no other one explains."""
+        remaining = [
+            d for d in self._reportable if self.weight(d) >= POISON_WEIGHT
+        ]
         explained = set()
-        self._blamed = set()
-        while left:
-            weights = {d: self.weight(d, explained) for d in left}
-            worst = max(left, key=lambda d: (weights[d], d))
-            if weights[worst] < POISON_WEIGHT:
+        self._poison = set()
+        while remaining:
+            weights = {d: self.weight(d, explained) for d in remaining}
+            heaviest = max(remaining, key=lambda d: (weights[d], d))
+            if weights[heaviest] < POISON_WEIGHT:
                 return
-            self._blamed.add(worst)
-            explained.update(self._suspects[worst].crashes)
-            left.remove(worst)
+            self._poison.add(heaviest)
+            explained.update(self._suspects[heaviest].crashes)
+            remaining.remove(heaviest)
 
     def weight(self, digest, explained=frozenset()):
-        """Returns how much speaks against a request.
+        """Returns the total crash weight of a request.
 
         Args:
             digest: The ``ids.RequestDigest``.
@@ -225,17 +244,17 @@
         if suspect is None:
             return 0
         return sum(
-            int(CrashWeight.OLD if self._ended_beside_others(suspect, s) else s.
+            int(CrashWeight.OLD if self._has_common_cause(suspect, r) else r.
                 weight)
-            for c, s in suspect.crashes.items()
+            for c, r in suspect.crashes.items()
             if c not in explained)
 
-    def _ended_beside_others(self, suspect, sighting):
+    def _has_common_cause(self, suspect, record):
         return any(
-            abs(at - sighting.seen_at) < COMMON_CAUSE_S and
-            crash not in suspect.crashes for crash, at in self._ends.items())
+            abs(at - record.seen_at) < COMMON_CAUSE_S and
+            crash not in suspect.crashes for crash, at in self._exits.items())
 
-    def _hold_s(self, digest):
+    def _block_s(self, digest):
         doublings = max(
             0,
             self.weight(digest) - POISON_WEIGHT) // CrashWeight.YOUNG
@@ -243,21 +262,21 @@
 
     def is_blocked(self, digest, now):
         """Returns whether a request must not be sent now."""
-        if digest not in self._blamed:
+        if digest not in self._poison:
             return False
         suspect = self._suspects[digest]
-        return now - suspect.last_seen_at < self._hold_s(digest)
+        return now - suspect.last_seen_at < self._block_s(digest)
 
     def must_serialize(self, digest):
-        """Returns whether a request is tried at one replica at a time."""
+        """Returns whether a request may run at one replica at a time only."""
         return self.weight(digest) >= SERIALIZE_WEIGHT
 
     @property
     def poison_requests(self):
-        """The digests blamed, a list."""
-        return list(self._blamed)
+        """The digests of all poison requests, a list."""
+        return list(self._poison)
 
-    # -- for the others --------------------------------------------------------
+    # -- exchange with other entries -------------------------------------------
 
     def find(self, digest):
         """Returns the ``Suspect`` of a digest, or None."""
@@ -271,22 +290,23 @@
         return sorted(suspect.crashes, key=lambda c: suspect.crashes[c].seen_at)
 
     def reportable(self):
-        """Returns the digests that all entries had better know, a list."""
-        return list(self._grave)
+        """Returns the digests that all entries should receive, a list."""
+        return list(self._reportable)
 
     @property
     def summary(self):
-        """A number that differs where what is grave does.
+        """A hash over the reportable requests and their crashes.
 
-        Entries that missed a message see by it that they did.
+        An entry whose own summary differs has missed a message.
         """
         return self._summary
 
-    def _summed(self):
-        number = 0
+    def _compute_summary(self):
+        summary = 0
         for digest in self.reportable():
-            found = hashlib.blake2b(digest, digest_size=SUMMARY_BYTES)
+            hasher = hashlib.blake2b(digest, digest_size=SUMMARY_BYTES)
             for crash in sorted(self._suspects[digest].crashes):
-                found.update(f'{crash.replica}/{crash.started_at_ms};'.encode())
-            number ^= int.from_bytes(found.digest(), 'big')
-        return number
+                hasher.update(
+                    f'{crash.replica}/{crash.started_at_ms};'.encode())
+            summary ^= int.from_bytes(hasher.digest(), 'big')
+        return summary
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""What entries believe of each other, against the last true words of each."""
+"""Membership: what entries have observed of each other, against an oracle."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -16,26 +16,26 @@
                              rows)
 
 
-_WORDS = st.lists(st.tuples(
+_MESSAGES = st.lists(st.tuples(
     st.sampled_from('abc'), st.integers(1, 3), st.integers(1, 9),
     st.dictionaries(st.sampled_from(REPLICAS), st.integers(1, 9)),
     st.floats(0, 0.9)),
-                  max_size=60)
+                     max_size=60)
 
 
-@given(_WORDS)
-def test_sums_are_those_of_the_last_words(words):
-    """Work counted twice, or work of a process that is gone.
+@given(_MESSAGES)
+def test_sums_are_those_of_the_last_statuses(messages):
+    """Work is counted twice, or work of an earlier process is counted.
 
-    Symptom: a replica looks busy for ever, or is flooded. Sequence: messages
-    overtake each other, are repeated, an entry starts again, one falls silent.
-    Cause: a sum that was not made of each entry's last words. The oracle keeps
-    the newest status of each and adds up those heard within the bound.
+    A replica then looks busy for ever, or is flooded. It happens if messages
+    arrive out of order or repeatedly, if an entry restarts or goes silent, and
+    the sum is not made of each entry's last status. The oracle keeps the newest
+    status of each entry and adds up the recent ones.
     """
     members = membership.Members('me')
     last = {}
     now = 0.0
-    for host, boot, seq, rows, wait in words:
+    for host, boot, seq, rows, wait in messages:
         now += wait
         status = _status(host, boot, seq, rows)
         before = last.get(host)
@@ -63,16 +63,15 @@
 
 
 def test_an_entry_does_not_count_itself():
-    """Own work counted twice: a seed that names this VM, or an echo."""
+    """Own work is counted twice: a seed names this VM, or a message returns."""
     members = membership.Members('me')
     assert not members.record_status('h', _status('me', rows={'r1': 5}), 0.0)
     assert members.alone and members.in_flight('r1') == membership.NO_REQUESTS
 
 
-def test_a_frozen_entry_is_left_out_and_comes_back():
-    """Symptom: room that nobody uses. Sequence: a VM is suspended for seconds
-    with requests under way; its replicas end them. Cause: its last words were
-    believed for as long."""
+def test_a_suspended_entry_is_left_out_and_returns():
+    """Capacity stays unused: a VM is suspended for seconds while its requests
+    end at the replicas, and its last status is still counted."""
     members = membership.Members('me')
     members.record_status('h', _status('a', seq=1, rows={'r1': 5}), 0.0)
     members.expire(5.0)
@@ -83,9 +82,9 @@
     assert members.in_flight('r1').requests == 1
 
 
-def test_words_of_the_process_before_are_passed_over():
-    """A message of the old process that was long on its way after a restart
-    would bring back requests that are gone."""
+def test_messages_of_an_earlier_process_are_ignored():
+    """A delayed message of the process before a restart counts requests that
+    no longer exist."""
     members = membership.Members('me')
     members.record_status('h', _status('a', boot=2, seq=1, rows={'r1': 1}), 0.0)
     assert not members.record_status(
@@ -93,8 +92,8 @@
     assert members.in_flight('r1').requests == 1
 
 
-def test_addresses_are_bounded_and_forgotten():
-    """A flood of addresses told of, none of which answers."""
+def test_addresses_are_bounded_and_expire():
+    """Other entries name many addresses, none of which sends a status."""
     members = membership.Members('me')
     for i in range(5 * membership.MAX_MEMBERS):
         members.add_address(f'10.0.{i // 256}.{i % 256}', 0.0)
@@ -102,11 +101,10 @@
     assert not members.addresses(membership.UNCONFIRMED_ADDRESS_TTL_S + 1.0)
 
 
-def test_requests_of_the_silent_still_count_for_the_retries():
-    """Symptom: more retries than all may send. Sequence: a cut leaves two
-    halves of the entries that do not hear each other but reach the replicas;
-    each half takes itself for all. Cause: who is silent was left out of the
-    sum that an entry's part is worked out from."""
+def test_first_attempts_of_silent_entries_count_for_retries():
+    """All entries together send too many retries: a network partition separates
+    two halves of the entries that both reach the replicas, and each half takes
+    itself for all because silent entries are left out of the sum."""
     members = membership.Members('me')
     members.record_status('h', _status('a', first_attempts={'s': 40}), 0.0)
     members.expire(10.0)
@@ -118,10 +116,10 @@
 @given(
     st.lists(st.tuples(st.sampled_from('abc'), st.integers(0, 50)),
              max_size=30))
-def test_requests_add_up(words):
+def test_first_attempts_add_up(messages):
     members = membership.Members('me')
     last = {}
-    for seq, (host, firsts) in enumerate(words, 1):
+    for seq, (host, firsts) in enumerate(messages, 1):
         members.record_status(
             host, _status(host, seq=seq, first_attempts={'s': firsts}), 0.0)
         last[host] = firsts
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""Requests that crash replicas: who is blamed, at one entry and at many."""
+"""Detection of requests that crash replicas, at one entry and at many."""
 
 import pytest
 from hypothesis import given
@@ -10,15 +10,15 @@
 
 YOUNG, OLD = suspects.CrashWeight.YOUNG, suspects.CrashWeight.OLD
 CONTACT_S = 5.0
-MOST_AFTER = 3
+MAX_RUNS_AFTER_CONTACT = 3
 
 
 def _crash(number):
     return suspects.Crash(f'r{number}')
 
 
-def test_the_third_crash_has_a_request_blamed():
-    """One request that takes down replica after replica."""
+def test_the_third_crash_blocks_a_request():
+    """One request crashes one replica after another."""
     known = suspects.Suspects()
     for i in range(3):
         assert not known.is_blocked(b'x', 10.0 * i)
@@ -26,16 +26,16 @@
     assert known.is_blocked(b'x', 21.0)
 
 
-def test_a_crash_counts_once_whoever_tells_it():
-    """A good request shut out as several entries saw the same crash."""
+def test_a_crash_counts_once_whoever_reports_it():
+    """A good request is blocked because several entries saw one crash."""
     known = suspects.Suspects()
     for i in range(9):
         known.record_crash(b'x', _crash(1), YOUNG, 0.01 * i)
     assert not known.is_blocked(b'x', 1.0)
 
 
-def test_a_run_that_ends_clears():
-    """A good request shut out as replicas crashed under it over the days."""
+def test_a_completed_run_clears_a_request():
+    """A good request is blocked after unrelated crashes over several days."""
     known = suspects.Suspects()
     for i in range(9):
         known.record_crash(b'x', _crash(i), YOUNG, 10.0 * i)
@@ -43,8 +43,8 @@
     assert not known.must_serialize(b'x')
 
 
-def test_who_was_beside_the_guilty_is_not_blamed():
-    """Good requests shut out that followed a guilty one to its replicas."""
+def test_requests_beside_a_poison_request_are_not_blocked():
+    """Good requests are blocked that ran beside a poison request."""
     known = suspects.Suspects()
     for i in range(4):
         known.record_crash(b'guilty', _crash(i), YOUNG, 10.0 * i)
@@ -53,8 +53,8 @@
     assert known.poison_requests == [b'guilty']
 
 
-def test_replicas_that_end_together_speak_less_against_their_requests():
-    """Good requests shut out by bursts of crashes."""
+def test_simultaneous_exits_weigh_less():
+    """Good requests are blocked by bursts of crashes."""
     known = suspects.Suspects()
     for burst in range(3):
         for i in range(12):
@@ -63,8 +63,8 @@
     assert not known.poison_requests
 
 
-def test_a_blamed_request_is_tried_once_more_after_its_hold():
-    """A request shut out for good that a new version of its service bears."""
+def test_a_poison_request_is_tried_again_after_its_block_time():
+    """A request stays blocked that a new service version can handle."""
     known = suspects.Suspects()
     for i in range(3):
         known.record_crash(b'x', _crash(i), YOUNG, 10.0 * i)
@@ -76,8 +76,8 @@
     assert not known.poison_requests
 
 
-def test_what_is_remembered_is_bounded():
-    """Memory that grows with each crash; the gravest stay."""
+def test_stored_crashes_are_bounded():
+    """Memory grows with each crash; the requests with most crashes stay."""
     known = suspects.Suspects()
     for i in range(3):
         known.record_crash(b'guilty', _crash(i), YOUNG, float(i))
@@ -92,7 +92,7 @@
                    max_size=14)
 
 
-def _tell(known, events):
+def _record(known, events):
     for at, (digest, number, weight) in events:
         if number < 0:
             known.record_completion(digest, float(at))
@@ -101,48 +101,48 @@
 
 
 def _oracle(events):
-    """Returns who is blamed, from all that was seen, in whatever order."""
-    ran = {}
+    """Returns the poison requests, computed from all events at once."""
+    completed = {}
     for at, (digest, number, _) in events:
         if number < 0:
-            ran[digest] = max(at, ran.get(digest, -1))
+            completed[digest] = max(at, completed.get(digest, -1))
     seen = {}
     for at, (digest, number, weight) in events:
-        if number >= 0 and at > ran.get(digest, -1):
+        if number >= 0 and at > completed.get(digest, -1):
             old = seen.setdefault(digest, {}).get(number, 0)
             seen[digest][number] = max(old, weight)
-    blamed, explained = set(), set()
+    poison, explained = set(), set()
     while True:
         weights = {
             digest: sum(w for n, w in found.items() if n not in explained)
             for digest, found in seen.items()
-            if digest not in blamed
+            if digest not in poison
         }
         worst = max(weights, key=lambda d: (weights[d], d), default=None)
         if worst is None or weights[worst] < suspects.POISON_WEIGHT:
-            return blamed
-        blamed.add(worst)
+            return poison
+        poison.add(worst)
         explained.update(seen[worst])
 
 
 @given(_EVENTS, st.randoms(use_true_random=False))
-def test_entries_agree_however_they_are_told(events, rng):
-    """Entries that differ for good: messages lost, repeated and overtaken."""
-    # One time for each crash, whoever reports it, and each far from the next.
+def test_entries_agree_whatever_the_order_of_reports(events, rng):
+    """Entries disagree for good after repeated and reordered messages."""
+    # All reports of a crash have its time, and crashes are far apart in time.
     events = [(100 * number if number >= 0 else 50 + 100 * i, (digest, number,
                                                                weight))
               for i, (digest, number, weight) in enumerate(events)]
-    told = events + [e for e in events if rng.random() < 0.5]
-    rng.shuffle(told)
+    reports = events + [e for e in events if rng.random() < 0.5]
+    rng.shuffle(reports)
     known = suspects.Suspects()
-    _tell(known, told)
+    _record(known, reports)
     assert set(known.poison_requests) == _oracle(events)
 
 
 @pytest.mark.parametrize('entries, replicas, seed', [(9, 6, 1), (9, 6, 2),
                                                      (87, 45, 3), (195, 50, 4)])
-def test_many_entries_know_a_guilty_request_in_time(entries, replicas, seed):
-    """Replicas that go on crashing as each entry finds out by itself."""
+def test_many_entries_block_a_poison_request_in_time(entries, replicas, seed):
+    """Replicas keep crashing because each entry detects the cause alone."""
     site = crashing.Site(entries, replicas, seed)
     for i in range(40):
         site.loop.later(1.0 + 0.45 * i,
@@ -153,14 +153,15 @@
     late = [
         at for at in site.guilty_runs if at > site.guilty_runs[2] + CONTACT_S
     ]
-    assert len(late) <= MOST_AFTER, site.guilty_runs
+    assert len(late) <= MAX_RUNS_AFTER_CONTACT, site.guilty_runs
     assert not site.good['refused'], site.good
 
 
 @pytest.mark.parametrize('entries, replicas, seed', [(9, 8, 1), (87, 45, 2),
                                                      (195, 50, 3)])
-def test_bursts_of_crashes_shut_out_no_good_request(entries, replicas, seed):
-    """Good requests refused after a quarter of the replicas crashed, thrice."""
+def test_bursts_of_crashes_block_no_good_request(entries, replicas, seed):
+    """Good requests are refused after three crashes of a quarter of the
+    replicas each."""
     site = crashing.Site(entries, replicas, seed)
 
     def burst():
@@ -172,14 +173,14 @@
     for i in range(600):
         site.loop.later(0.01 * i, lambda i=i: site.ask(b'%d' % i, 0.5))
     site.loop.run(20.0)
-    blamed = [e.crashes.suspects.poison_requests for e in site.entries]
-    assert not any(blamed), blamed
+    blocked = [e.crashes.suspects.poison_requests for e in site.entries]
+    assert not any(blocked), blocked
     assert not site.good['refused'], site.good
     assert site.good['served'] > 500, site.good
 
 
-def test_an_entry_that_starts_asks_the_others():
-    """A guilty request sent again by each entry that is replaced."""
+def test_a_starting_entry_queries_the_others():
+    """Each replaced entry sends a poison request once more."""
     site = crashing.Site(9, 6, 5)
     for i in range(8):
         site.loop.later(0.5 * i, lambda: site.ask(b'guilty', 0.0, guilty=True))
@@ -190,8 +191,8 @@
 
 
 @pytest.mark.parametrize('copies', [2, 3, 5])
-def test_copies_that_come_at_once_are_known_in_time(copies):
-    """Replicas lost to several callers that send the same at the same time."""
+def test_simultaneous_copies_are_blocked_in_time(copies):
+    """Several callers that send the same request at once crash replicas."""
     site = crashing.Site(9, 8, copies)
     for i in range(8):
         for _ in range(copies):
@@ -201,29 +202,31 @@
     late = [
         at for at in site.guilty_runs if at > site.guilty_runs[2] + CONTACT_S
     ]
-    assert len(late) <= MOST_AFTER, site.guilty_runs
+    assert len(late) <= MAX_RUNS_AFTER_CONTACT, site.guilty_runs
 
 
-def test_what_is_sent_as_its_replica_ends_speaks_less():
-    """A good request blamed as it came from one end of a burst to the next."""
+def test_an_attempt_during_an_exit_weighs_less():
+    """A good request is blocked that was retried from one crashing replica of
+    a burst to the next."""
     run = crashes.Run(b'x', sent_at=1.0, first_at=None, again=True)
     assert run.weight(1.01) is OLD
     assert run.weight(1.5) is YOUNG
     assert run._replace(again=False).weight(1.01) is YOUNG
 
 
-def test_who_saw_part_of_what_blames_has_it_kept():
-    """Three more replicas lost after a restart of all, as nobody wrote it."""
+def test_entries_that_saw_part_of_the_crashes_store_them():
+    """A restart of all entries costs three more replicas because no entry has
+    stored the poison request."""
     site = crashing.Site(9, 6, 6, lost=0.0)
-    kept = []
+    stored = []
     for entry in site.entries:
-        entry.crashes.on_blamed = kept.append
-    # Each of three entries sees one crash, and none hears of the others' first.
+        entry.crashes.on_blamed = stored.append
+    # Each of three entries observes one crash before it receives the others.
     for entry in site.entries[:3]:
         replica = site.sound()[0]
         run = crashes.Run(b'x', sent_at=-1.0, first_at=None)
         replica.up = False
         entry.crashes.broke(replica, run, lambda: None)
     site.loop.run(3 * site.heartbeat_s)
-    assert kept and set(kept) == {b'x'}
+    assert stored and set(stored) == {b'x'}
     assert all(e.crashes.suspects.is_blocked(b'x', 2.0) for e in site.entries)
