--- a/gorsefall/policy/knowledge.py
+++ b/gorsefall/policy/knowledge.py
@@ -1,4 +1,4 @@
-"""What an entry knows of a replica, and of a request that goes to one."""
+"""What placement knows of a replica and of the request to be placed."""
 
 import dataclasses
 import math
@@ -11,40 +11,41 @@
 from gorsefall.policy import stalls
 
 ERROR_SMOOTHING = 0.15
+"""Smoothing of the share of failed responses: over about seven responses."""
 
 PREFILL_SMOOTHING = 0.1
-"""How fast the mean prompt follows: over about ten requests."""
+"""Smoothing of the mean prefill of a request: over about ten requests."""
 
 DECODE_HEAVY_MAX_RATIO = 8
-"""A request that reads fewer prompt tokens than this for each token it may
-write spends its time writing. Reading one takes 0.02 ms and writing one 3 ms
-and more, so both kinds lie far from it: 3 for chats, 100 and more for the
-others."""
+"""Prompt tokens for each output token below which a request is decode-heavy.
+Prefilling a token takes 0.02 ms and decoding one at least 3 ms, so both kinds
+of requests are far from this ratio: 3 for chats, 100 and more for the others."""
 
 
 @dataclasses.dataclass
 class ReplicaView(health.Health):
-    """What an entry knows of one replica that requests can go to.
+    """What an entry knows of one replica that may take requests.
 
     Attributes:
         name: Replica id.
         zone: Its availability zone.
         slots: Requests it runs at once.
         engine: Whether it is a model engine.
-        outstanding: Own requests sent there and not ended.
-        pending: Own requests whose first event has not come.
-        pending_tokens: Prompt tokens that are to be read for those.
-        writing: Own requests there that spend their time writing.
-        others: Requests of other entries as of ``reported_at``, waiting ones
-            included.
-        others_tokens: Prompt tokens that are to be read for those.
-        others_writing: Those of them that spend their time writing.
-        mean_unread: Smoothed prompt tokens to be read for a request there.
-        reported_at: When its last load came, s (monotonic).
-        error_share: Smoothed share of failed answers, 0 to 1.
+        outstanding: Own requests sent there that have not ended.
+        pending: Own requests there without a first event.
+        prefill_tokens: Prompt tokens still to be prefilled for those.
+        decode_heavy: Own requests there that mostly decode.
+        others_requests: Requests of other entries as of ``reported_at``,
+            including waiting ones.
+        others_prefill_tokens: Prompt tokens still to be prefilled for those.
+        others_decode_heavy: Those of them that mostly decode.
+        mean_prefill_tokens: Smoothed number of prompt tokens to be prefilled
+            for a request there.
+        reported_at: When its load was last reported, s (monotonic).
+        error_share: Smoothed share of failed responses, 0 to 1.
         link: The ``stalls.LinkQuality`` to it.
         pause: A ``pace.Quantile`` of the pauses in its streams, ms.
-        kept: The ``prompts.PromptCache`` there.
+        prompt_cache: The ``prompts.PromptCache`` there.
         failures: See ``health.Health``.
         eject_until: See ``health.Health``.
     """
@@ -72,21 +73,21 @@
     eject_until: float = 0.0
 
     def record_load(self, running, waiting, now):
-        """Notes how many requests the replica said it runs and lets wait."""
+        """Records the requests that the replica reports as its load."""
         self.others_requests = max(0, running + waiting - self.outstanding)
-        unread = max(0, waiting - self.pending)
-        self.others_prefill_tokens = unread * self.mean_prefill_tokens
+        queued = max(0, waiting - self.pending)
+        self.others_prefill_tokens = queued * self.mean_prefill_tokens
         self.reported_at = now
 
-    def record_others(self, row, now):
-        """Notes the ``membership.InFlight`` of all other entries together."""
-        self.others_requests = row.requests
-        self.others_prefill_tokens = row.prefill_tokens
-        self.others_decode_heavy = row.decode_heavy
+    def record_others(self, work, now):
+        """Records the ``membership.InFlight`` of all other entries together."""
+        self.others_requests = work.requests
+        self.others_prefill_tokens = work.prefill_tokens
+        self.others_decode_heavy = work.decode_heavy
         self.reported_at = now
 
     def record_sent(self, tokens, *, decode_heavy=False):
-        """Notes an own request for which ``tokens`` are to be read."""
+        """Records an own request with ``tokens`` to be prefilled."""
         self.decode_heavy += decode_heavy
         self.outstanding += 1
         self.pending += 1
@@ -95,12 +96,12 @@
             tokens - self.mean_prefill_tokens)
 
     def record_prefilled(self, tokens):
-        """Notes that the prompt of such a request is read."""
+        """Records that the prompt of such a request has been prefilled."""
         self.pending -= 1
         self.prefill_tokens -= tokens
 
     def record_end(self, *, decode_heavy=False):
-        """Notes that an own request is no longer there."""
+        """Records that an own request has ended there."""
         self.outstanding -= 1
         self.decode_heavy -= decode_heavy
 
@@ -110,7 +111,7 @@
                                    self.decode_heavy)
 
     def record_response(self, ok):
-        """Notes whether an answer was what the caller needed."""
+        """Records whether a response served the caller's request."""
         self.error_share += ERROR_SMOOTHING * ((not ok) - self.error_share)
 
 
@@ -120,13 +121,13 @@
 
     Attributes:
         zone: Availability zone of the entry.
-        parts: Tuple of ``prompts.Part``: what its prompt shares with others.
+        parts: Tuple of ``prompts.Part``: the parts of its prompt that other
+            requests share.
         tokens: Tokens of the whole prompt.
-        tokens_out: Tokens it may write.
-        limit_ms: Longest queue it may be put behind, ms; behind a longer one
-            it would be refused.
-        gap_ms: Longest pause between its events for full worth, ms; 0 for
-            none.
+        tokens_out: Maximum number of output tokens.
+        queue_limit_ms: Longest queue that it may be put behind, ms; behind a
+            longer one it is refused.
+        gap_ms: Target for the longest gap between its events, ms; 0 for none.
     """
     zone: ids.ZoneName
     parts: tuple[prompts.Part, ...] = ()
@@ -137,20 +138,20 @@
 
     @property
     def decode_heavy(self):
-        """Whether its time goes into writing rather than into reading."""
+        """Whether it mostly decodes rather than prefills."""
         return self.tokens < DECODE_HEAVY_MAX_RATIO * self.tokens_out
 
     @property
     def session(self):
-        """Name of the shared part its prompt goes on from; '' if none."""
+        """Name of the last shared part of its prompt; '' if there is none."""
         return self.parts[-1].name if self.parts else ''
 
     @property
     def shared_tokens(self):
-        """Tokens up to the end of that part."""
+        """Tokens of all its shared parts."""
         return sum(p.tokens for p in self.parts)
 
     @property
     def own_tokens(self):
-        """Tokens that no other request has."""
+        """Tokens that no other request shares."""
         return self.tokens - self.shared_tokens
--- a/gorsefall/policy/peerview.py
+++ b/gorsefall/policy/peerview.py
@@ -1,4 +1,4 @@
-"""What entries know of each other's work, and what each tells of its own."""
+"""The reported work of other entries, and the status that reports the own."""
 
 import collections
 
@@ -6,33 +6,35 @@
 from gorsefall.policy import prompts
 
 PROMPT_USE_REPORT_S = 0.4
-"""How long a use of a replica's cached prompts is told to the others, s: in a
-few messages, of which some may be lost."""
+"""Time for which a use of a replica's prompt cache is reported to others, s: it
+is in several messages, of which some may be lost."""
 
 RESPONSE_REPORT_S = 1.5
-"""How long an answer is told of, s: to each of many entries once or twice."""
+"""Time for which a response is reported, s: with many entries, each of them
+receives it once or twice."""
 
 REPORTED_ERROR_SHARE = 0.02
-"""Share of failed answers of a replica from which on good ones are told too, so
-that it is believed sound again; of the others nothing need be said."""
+"""Share of failed responses of a replica from which on its successes are
+reported as well, so that other entries see it recover. Below it only failures
+are."""
 
 MAX_RESPONSES = 64
-"""Most answers told of in a message, the last ones; see ``MAX_USES``."""
+"""Maximum number of responses in a message, the last ones."""
 
 MAX_PROMPT_USES = 64
-"""Most uses told in a message, the last ones; an entry has 16 requests a
-second at the size of two years hence."""
+"""Maximum number of prompt uses in a message, the last ones. An entry has 16
+requests a second at the size planned in two years."""
 
 
 class PeerView:
-    """One entry's view of the others' work at replicas.
+    """One entry's view of the work of other entries at the replicas.
 
     Attributes:
-        members: The ``membership.Members`` heard.
+        members: The ``membership.Members`` with the other entries.
     """
 
     def __init__(self, name, find):
-        """Creates the view of an entry that heard nobody yet.
+        """Creates the view of an entry that has received no status yet.
 
         Args:
             name: The entry's name.
@@ -41,38 +43,39 @@
         """
         self._find = find
         self._uses = collections.deque(maxlen=MAX_PROMPT_USES)
-        self._answers = collections.deque(maxlen=MAX_RESPONSES)
-        self._answered = 0
+        self._responses = collections.deque(maxlen=MAX_RESPONSES)
+        self._response_count = 0
         self.members = membership.Members(name)
 
     def record_prompt(self, target, parts, now):
-        """Notes the shared parts that a replica reads for an own request."""
+        """Records the shared prompt parts of an own request at a replica."""
         target.prompt_cache.record_use(parts)
-        known = tuple(p for p in parts if p.tokens >= prompts.MIN_PART_TOKENS)
-        if known:
-            self._uses.append((now, prompts.Use(target.name, known)))
+        tracked = tuple(p for p in parts if p.tokens >= prompts.MIN_PART_TOKENS)
+        if tracked:
+            self._uses.append((now, prompts.Use(target.name, tracked)))
 
     def record_response(self, target, ok, now):
-        """Notes whether a replica's answer was what the caller needed.
+        """Records whether a response served the caller's request.
 
-        The others are told: with many entries each has few calls, and one
-        that learns of a bad replica by itself alone loses several of them.
+        The response is reported to other entries: with many entries each has
+        few calls, and would lose several of them if it had to detect a failing
+        replica alone.
         """
         target.record_response(ok)
         if ok and target.error_share < REPORTED_ERROR_SHARE:
             return
-        self._answered += 1
-        self._answers.append((now, membership.Response(target.name, ok)))
+        self._response_count += 1
+        self._responses.append((now, membership.Response(target.name, ok)))
 
     def record_status(self, host, status, now):
-        """Takes in what another entry tells; returns whether it is news."""
+        """Records the status of another entry; returns False if it is stale."""
         last = self.members.last_status(host)
         if not self.members.record_status(host, status, now):
             return False
-        for answer in status.responses_after(last):
-            target = self._find(answer.replica)
+        for response in status.responses_after(last):
+            target = self._find(response.replica)
             if target is not None:
-                target.record_response(answer.ok)
+                target.record_response(response.ok)
         for use in status.prompt_uses:
             target = self._find(use.replica)
             if target is not None:
@@ -80,7 +83,7 @@
         return True
 
     def update_views(self, targets, now):
-        """Puts the others' work into ``targets``, unless nobody is heard."""
+        """Updates ``targets`` with others' work, if any other entry is live."""
         if self.members.alone:
             return
         for target in targets:
@@ -100,7 +103,7 @@
                      suspects_summary=0,
                      limit_reports=(),
                      replica_exits=()):
-        """Returns the ``membership.Status`` to tell the others.
+        """Returns the ``membership.Status`` to send to other entries.
 
         Args:
             started_at_ms: When this process started, ms since 1970.
@@ -108,7 +111,7 @@
             targets: All ``knowledge.ReplicaView`` objects.
             now: Time, s (monotonic).
             first_attempts: ``service -> requests`` in the retry window.
-            known_hosts: Hosts of some entries that are heard.
+            known_hosts: Hosts of some live entries.
             zone: This entry's availability zone.
             can_read_store: Whether it can read the store for others.
             run_reports: See ``membership.Status``.
@@ -118,8 +121,9 @@
         """
         while self._uses and self._uses[0][0] < now - PROMPT_USE_REPORT_S:
             self._uses.popleft()
-        while self._answers and self._answers[0][0] < now - RESPONSE_REPORT_S:
-            self._answers.popleft()
+        while self._responses and self._responses[0][
+                0] < now - RESPONSE_REPORT_S:
+            self._responses.popleft()
         return membership.Status(
             name=self.members.name,
             started_at_ms=started_at_ms,
@@ -128,8 +132,8 @@
             in_flight={t.name: t.in_flight() for t in targets if t.outstanding},
             prompt_uses=tuple(use for _, use in self._uses),
             known_hosts=tuple(known_hosts),
-            responses_before=self._answered - len(self._answers),
-            responses=tuple(answer for _, answer in self._answers),
+            responses_before=self._response_count - len(self._responses),
+            responses=tuple(response for _, response in self._responses),
             zone=zone,
             can_read_store=can_read_store,
             run_reports=run_reports,
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -164,7 +164,7 @@
     cost = costs.PlacementCosts(want, placement.ServiceState(), [lossy, sound],
                                 5.0)
     at_lossy, at_sound = (
-        cost.total_ms(p, at_home=True) for p in cost.candidates)
+        cost.total_ms(p, at_affinity=True) for p in cost.candidates)
     assert at_lossy == at_sound
 
 
