--- a/gorsefall/policy/announced_limits.py
+++ b/gorsefall/policy/announced_limits.py
@@ -1,8 +1,8 @@
-"""Limits that replicas announce: requests a second from all entries together.
+"""Rate limits that replicas announce: requests per second from all entries.
 
-Few entries send to a replica with a limit, so that it holds for hundreds of
-them too: a part of one request for each would already be more than it takes.
-Every entry works out for itself, from whom it hears, which those are.
+Only a few entries send to a replica with a limit. With hundreds of entries, one
+request from each of them would already exceed it. Every entry computes from the
+live entries that it has observed which of them may send.
 """
 
 import dataclasses
@@ -10,34 +10,35 @@
 from gorsefall.policy import rendezvous
 
 USED_SHARE = 0.8
-"""Part of a limit that is used: entries that do not hear of each other for a
-while count more senders than there are, or fewer."""
+"""Used share of a limit: entries that do not receive each other's status for a
+while compute too many or too few senders."""
 
 MAX_BURST_REQUESTS = 2.0
-"""Requests that an entry may send at once after a pause, if that is more."""
+"""Maximum burst of an entry after a pause, requests. ``MAX_BURST_S`` may allow
+more."""
 
 URGENT_RESERVE = 0.5
-"""Part of a request that is left for the most urgent: it is saved up twice as
-soon again."""
+"""Part of a request that is reserved for the most urgent requests, so that the
+next of them has to wait for half the usual time only."""
 
 MAX_BURST_S = 0.5
-"""The same as time of its part, s."""
+"""Maximum burst of an entry as a time at its rate, s."""
 
 MIN_PER_S = 0.05
-"""Least rate at which a replica is sent requests, a second: only an answer
-tells that its limit is over."""
+"""Minimum rate at which requests are sent to a replica, per second: only its
+responses show that the limit has been lifted."""
 
 PER_SENDER_PER_S = 1.0
-"""Limit for which one entry sends, requests a second."""
+"""Part of a limit for which there is one sender, requests per second."""
 
 
 def senders(replica, entries, per_s):
-    """Returns the entries that send to a replica with a limit, a list.
+    """Returns the entries that may send to a replica with a limit, a list.
 
     Args:
         replica: The replica's id.
-        entries: Objects with a ``name``, this entry's own among them.
-        per_s: The limit, requests a second.
+        entries: Objects with a ``name``, including this entry's own.
+        per_s: The limit, requests per second.
     """
     count = max(1, min(len(entries), int(per_s / PER_SENDER_PER_S)))
     return sorted(entries,
@@ -47,24 +48,29 @@
 
 @dataclasses.dataclass
 class AnnouncedLimit:
-    """What one replica announced last, and what this entry may send it.
+    """The last announced limit of one replica, as a token bucket.
 
     Attributes:
-        per_s: Requests a second from all entries; None for no limit.
-        heard_at: When that was answered, s (monotonic).
-        part: Part of it that is this entry's, 0 to 1.
-        saved: Requests that this entry may send now.
+        per_s: Requests per second from all entries; None for no limit.
+        announced_at: When the replica announced it, s (monotonic).
+        share: Share of it that this entry may use, 0 to 1.
+        available: Requests that this entry may send now.
     """
     per_s: float | None = None
     announced_at: float = float('-inf')
     share: float = 0.0
     available: float = 0.0
-    _counted_at: float = 0.0
+    _refilled_at: float = 0.0
 
     def update(self, per_s, at):
-        """Notes what an answer said; returns whether that is a change.
+        """Records the limit in a response; a stale one is ignored.
 
-        What comes late says nothing of now.
+        Args:
+            per_s: Requests per second; None for no limit.
+            at: When the replica announced it, s (monotonic).
+
+        Returns:
+            True if the limit has changed.
         """
         if at <= self.announced_at:
             return False
@@ -72,7 +78,7 @@
         if per_s == self.per_s:
             return False
         if self.per_s is None:
-            self.available, self._counted_at = 0.0, at
+            self.available, self._refilled_at = 0.0, at
         self.per_s = per_s
         return True
 
@@ -81,22 +87,23 @@
 
         Args:
             now: Time, s (monotonic).
-            urgent: Whether no other is more urgent at its service.
+            urgent: Whether the request has the most urgent rank of its
+                service.
         """
         if self.per_s is None:
             return True
-        self._count(now)
+        self._refill(now)
         return self.available >= 1.0 + (0.0 if urgent else URGENT_RESERVE)
 
     def record_sent(self, now):
-        """Notes a request that is sent now."""
+        """Records a request that is sent now."""
         if self.per_s is not None:
-            self._count(now)
+            self._refill(now)
             self.available -= 1.0
 
-    def _count(self, now):
+    def _refill(self, now):
         per_s = USED_SHARE * max(MIN_PER_S, self.per_s) * self.share
-        gained = per_s * max(0.0, now - self._counted_at)
-        most = max(MAX_BURST_REQUESTS, MAX_BURST_S * per_s)
-        self.available = min(most, self.available + gained)
-        self._counted_at = now
+        refill = per_s * max(0.0, now - self._refilled_at)
+        capacity = max(MAX_BURST_REQUESTS, MAX_BURST_S * per_s)
+        self.available = min(capacity, self.available + refill)
+        self._refilled_at = now
--- a/gorsefall/policy/attempts.py
+++ b/gorsefall/policy/attempts.py
@@ -1,11 +1,12 @@
-"""Where one request was sent, and whether it may be sent again.
-
-A request that changes something must not run twice, and nobody may be told
-that it did not run while it might have. Both follow from one question: which
-replicas may have begun it? Each that it is sent to may have, until it says
-otherwise or turns out never to have been reached. Noting doubt only where a
-failure is handled missed a path, on which a stream was begun anew beside its
-first run.
+"""The attempts of one request, and whether another attempt is allowed.
+
+A request with side effects must not run twice, and its caller must not get the
+response "not run" if it may have run. Both depend on the replicas that may have
+run the request. Each replica counts as one of them from the moment of the
+attempt, until it refuses the request or turns out not to have been reached.
+Recording it only in the failure handlers would miss paths on which an attempt
+ends without one, and a second run of a stream would be started beside the
+first.
 """
 
 import dataclasses
@@ -15,13 +16,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class RetryTerms:
-    """What may be repeated, and how often.
+    """Which requests may be sent again, and how often.
 
     Attributes:
         repeatable: Whether a second run does no harm.
-        most: Replicas that a request may be sent to.
-        refusals_free: Whether one that refused it leaves the count as it
-            was.
+        max_attempts: Maximum number of replicas to send a request to.
+        refusals_uncounted: Whether attempts that a replica refused do not count
+            towards that number.
     """
     repeatable: bool
     max_attempts: int
@@ -29,12 +30,13 @@
 
 
 class Attempts:
-    """The sends of one request.
+    """The attempts of one request.
 
     Attributes:
-        names: Replicas that it was sent to and may have reached, in order.
-        tried: All that were chosen for it; none is chosen twice.
-        in_doubt: Those that may have run it, once for each send.
+        replicas: Names of the replicas that it may have reached, in order.
+        tried: Names of all replicas chosen for it; none is chosen twice.
+        in_doubt: Names of the replicas that may have run it, one for each
+            attempt.
     """
 
     def __init__(self):
@@ -44,56 +46,62 @@
         self._refusals = 0
 
     def record_sent(self, name):
-        """Notes that it goes out to ``name``."""
+        """Records an attempt at the replica ``name``."""
         self.replicas.append(name)
         self.tried.add(name)
         self.in_doubt.append(name)
 
     def record_unreached(self):
-        """Notes that no byte of the last send went out: it was no attempt."""
+        """Drops the last attempt: no byte of it was sent."""
         self.in_doubt.remove(self.replicas.pop())
 
     def record_refusal(self):
-        """Notes that the last replica says it did not run it."""
+        """Records that the last replica refused the request without a run."""
         self._refusals += 1
         self.in_doubt.remove(self.replicas[-1])
 
     def record_withdrawal(self):
-        """Notes that the last send was given up before a byte went out."""
+        """Records that the last attempt was withdrawn before it was sent."""
         self.in_doubt.remove(self.replicas[-1])
 
     def has_attempts_left(self, terms):
-        """Whether ``terms`` leave it another replica, run or not."""
-        free = self._refusals if terms.refusals_uncounted else 0
-        return len(self.replicas) - free < terms.max_attempts
+        """Returns whether the limit of ``terms`` leaves another attempt."""
+        uncounted = self._refusals if terms.refusals_uncounted else 0
+        return len(self.replicas) - uncounted < terms.max_attempts
 
     def may_run_concurrently(self, terms):
-        """Whether it may be sent beside a run that is under way."""
+        """Returns whether it may be sent during another run."""
         return terms.repeatable and self.has_attempts_left(terms)
 
     def may_retry(self, terms):
-        """Whether it may be sent once more after its last run ended."""
+        """Returns whether it may be sent again after its last run has ended."""
         return self.has_attempts_left(terms) and not self.forbids_rerun(terms)
 
     def forbids_rerun(self, terms):
-        """Whether a run that may have begun must not be begun anew."""
+        """Returns whether a run that may have started rules out another one."""
         return bool(self.in_doubt) and not terms.repeatable
 
     def outcome_unknown_error(self, reason):
-        """Returns the error that says its last replica may have run it."""
+        """Returns the error for a request that may have run."""
         return errors.OutcomeUnknownError(
             f'{self.replicas[-1]} may have run it: {reason}')
 
     def reportable_error(self, exc, reason, terms):
-        """Returns ``exc``, or what may be said in its place.
+        """Returns ``exc``, or an error with an unknown outcome in its place.
 
-        While an earlier run is in doubt, "not run" would be false: a caller
-        that believes it may have the request run twice. Nor may a request
-        that changes something be called failed: it may have worked.
+        While an earlier attempt is in doubt, "not run" may be false, and a
+        caller that relies on it may have the request run twice. A request that
+        is not repeatable must not be reported as failed either: it may have
+        succeeded.
+
+        Args:
+            exc: The error to report.
+            reason: Why the last attempt failed.
+            terms: The ``RetryTerms``.
         """
-        claims_too_much = (isinstance(exc, errors.NotRunError) or
-                           not terms.repeatable)
-        if (self.in_doubt and claims_too_much and
+        may_be_false = (isinstance(exc, errors.NotRunError) or
+                        not terms.repeatable)
+        if (self.in_doubt and may_be_false and
                 not isinstance(exc, errors.OutcomeUnknownError)):
             return self.outcome_unknown_error(reason)
         return exc
--- a/gorsefall/policy/budget.py
+++ b/gorsefall/policy/budget.py
@@ -1,9 +1,9 @@
-"""How many requests an entry may send a second time.
+"""Retry budgets: how many requests an entry may send a second time.
 
-All entries share one allowance per service: a part of the requests for it
-plus a fixed number a window. An entry keeps to the same part of its own
-requests, whose sum can never be over the part of all, and of the fixed number
-to the part of the traffic that it carries, so nobody has to be asked per retry.
+All entries share one allowance per service: a ratio of its requests plus a
+fixed number per window. An entry applies the ratio to its own requests, so that
+the sum of all entries cannot exceed it, and takes a share of the fixed number
+in proportion to its traffic. No retry needs a query to other entries.
 """
 
 import collections
@@ -11,27 +11,27 @@
 import msgspec
 
 USED_RATIO_SHARE = 0.7
-"""Part of the allowed ratio that is used: requests are counted by when they
-arrive, retries come later and may fall into a window with fewer requests."""
+"""Used share of the allowed ratio. Requests are counted when they arrive; their
+retries come later, possibly in a window with fewer requests."""
 
 MIN_FIXED_RETRIES = 1.0
-"""Retries of the fixed number that an entry takes in any case: with little
-traffic nothing is seen of the others, and the number is for just that."""
+"""Minimum of the fixed number for each entry: the fixed number is for services
+with little traffic, where an entry cannot estimate its share."""
 
 MAX_FIXED_SHARE_ALONE = 1 / 12
-"""Largest part of the fixed number that an entry takes which hears no other:
-half of what it carries in today's deployments of 6 and 7, as restarted ones
-start afresh. With 80 entries this alone would add up to seven times the
-number."""
+"""Maximum share of the fixed number for an entry that receives no status of
+others: half of its share of the traffic with 6 or 7 entries, because restarted
+entries start with an empty window. With 80 such entries the sum would be seven
+times the fixed number."""
 
 
 class Allowance(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What all entries together may send beyond first tries.
+    """The retries that all entries together may send.
 
     Attributes:
         ratio: Retries allowed for each request.
-        window_s: Window they are counted in, s.
-        slack: Retries allowed in a window beside the ratio.
+        window_s: Length of the counting window, s.
+        slack: Retries allowed per window in addition to the ratio.
     """
     ratio: float = 0.1
     window_s: float = 10.0
@@ -39,63 +39,64 @@
 
 
 class Budget:
-    """One entry's retries to one service.
+    """The retries of one entry at one service.
 
     Attributes:
         allowance: The ``Allowance`` of all entries.
     """
 
-    def __init__(self, allowance, part, others=lambda: None):
-        """Creates a budget from which nothing is taken.
+    def __init__(self, allowance, share, others=lambda: None):
+        """Creates an unused budget.
 
         Args:
             allowance: The ``Allowance`` of all entries.
-            part: The ``traffic_share.TrafficShare`` that it estimates
+            share: The ``traffic_share.TrafficShare`` that the entry estimates
                 by itself.
-            others: Returns the requests that the other entries had in the
-                window; None while none is heard.
+            others: Returns the number of first attempts of the other entries
+                in the window; None while no other entry is live.
         """
         self._others = others
         self.allowance = allowance
-        self._part = part
-        self._firsts = collections.deque()
+        self._share = share
+        self._first_attempts = collections.deque()
         self._retries = collections.deque()
 
     def record_first_attempt(self, now):
-        """Notes a request's first send at ``now``, s (monotonic)."""
+        """Records the first attempt of a request at ``now``, s (monotonic)."""
         self._expire(now)
-        self._firsts.append(now)
+        self._first_attempts.append(now)
 
     def first_attempts(self, now):
-        """Returns the first sends in the window that ends now."""
+        """Returns the number of first attempts in the window that ends now."""
         self._expire(now)
-        return len(self._firsts)
+        return len(self._first_attempts)
 
     def available(self, now):
-        """Returns how many more retries may be sent now."""
+        """Returns the number of retries that may be sent now."""
         self._expire(now)
         a = self.allowance
-        allowed = self._fixed() + USED_RATIO_SHARE * a.ratio * len(self._firsts)
+        allowed = self._fixed_share() + USED_RATIO_SHARE * a.ratio * len(
+            self._first_attempts)
         return int(allowed - len(self._retries))
 
-    def _fixed(self):
-        """Returns the part of the fixed number that this entry may take.
+    def _fixed_share(self):
+        """Returns this entry's share of the fixed number.
 
-        When an engine crashes, each of its streams that goes on elsewhere is
-        a retry; the least part alone would let most of them break off.
+        When an engine crashes, each of its streams that resumes elsewhere is a
+        retry; with ``MIN_FIXED_RETRIES`` alone most of them would be lost.
         """
         slack = self.allowance.slack
         others = self._others()
         if others is None:
             fixed = max(MIN_FIXED_RETRIES,
-                        USED_RATIO_SHARE * self._part.value * slack)
+                        USED_RATIO_SHARE * self._share.value * slack)
             return min(MAX_FIXED_SHARE_ALONE * slack, fixed)
-        own = len(self._firsts)
+        own = len(self._first_attempts)
         return max(MIN_FIXED_RETRIES,
                    USED_RATIO_SHARE * slack * own / max(1, own + others))
 
     def acquire(self, now):
-        """Takes one retry; returns whether it may be sent."""
+        """Takes one retry out of the budget; returns False if it is used up."""
         if self.available(now) < 1:
             return False
         self._retries.append(now)
@@ -103,6 +104,6 @@
 
     def _expire(self, now):
         since = now - self.allowance.window_s
-        for times in (self._firsts, self._retries):
+        for times in (self._first_attempts, self._retries):
             while times and times[0] <= since:
                 times.popleft()
--- a/gorsefall/policy/knowledge.py
+++ b/gorsefall/policy/knowledge.py
@@ -19,7 +19,7 @@
 DECODE_HEAVY_MAX_RATIO = 8
 """Prompt tokens for each output token below which a request is decode-heavy.
 Prefilling a token takes 0.02 ms and decoding one at least 3 ms, so both kinds
-of requests are far from this ratio: 3 for chats, 100 and more for the others."""
+of requests are far from this ratio: chats at 3, the others at 100 and more."""
 
 
 @dataclasses.dataclass
--- a/gorsefall/policy/overload.py
+++ b/gorsefall/policy/overload.py
@@ -1,8 +1,8 @@
-"""Which requests are refused at once, because they would only come late.
+"""Load shedding: refuses requests whose responses would be late anyway.
 
-Under more demand than the replicas can bear a queue grows until everybody
-in it is late, and callers give up on work that is half done. What can still
-come on time is kept by refusing the least urgent before they queue.
+Under overload a queue grows until every request in it is late, and callers give
+up on half-finished work. Refusing the least urgent requests before they queue
+keeps the others on time.
 """
 
 import collections
@@ -12,32 +12,33 @@
 from gorsefall.policy import retry_delay
 
 QUEUE_SHARE_OF_TARGET = 0.7
-"""Part of its target that a request of the least urgent rank may spend behind
-others; the rest is for its own prompt."""
+"""Share of its latency target that a request of the least urgent rank may wait
+behind others; the rest is for its own prompt."""
 
 LIMIT_GROWTH_PER_RANK = 3.0
-"""How many times longer that may be for each rank above the least urgent: who
-is more urgent goes first in a replica's queue, so what is known of its length
-is hardly theirs."""
+"""Factor of that limit for each rank above the least urgent. More urgent
+requests are first in the queue of a replica, so that most of its observed
+length does not delay them."""
 
 MIN_RANK_SHARE = 0.05
-"""Part of the requests that a rank must have to count as one: a rank that
-nobody asks for leaves nothing to be refused before the others."""
+"""Minimum share of the requests for a rank to count: shedding a rank with
+hardly any requests would not protect the others."""
 
 MAX_COUNTED_REQUESTS = 512
-"""Requests after which the counts of ranks are halved, so that they follow
-the traffic; the least of our load sheets' rates brings as many in 20 s."""
+"""Number of requests after which the counts of all ranks are halved, so that
+they follow the traffic. The service with the lowest rate has as many in
+20 s."""
 
 
 class RankStats:
-    """How often each rank is asked for at a service, and for which target."""
+    """The requests of each rank at a service, and their latency targets."""
 
     def __init__(self):
         self._counts = collections.Counter()
         self._targets_ms = {}
 
     def record_request(self, rank, target_ms):
-        """Notes a request of ``rank``, 0 the most urgent."""
+        """Records a request of ``rank``; 0 is the most urgent one."""
         self._counts[rank] += 1
         self._targets_ms[rank] = target_ms
         if self._counts.total() > MAX_COUNTED_REQUESTS:
@@ -46,28 +47,30 @@
             })
 
     def _below(self, rank):
-        """Returns the less urgent ranks in use, the least urgent first."""
-        least = MIN_RANK_SHARE * self._counts.total()
+        """Returns the less urgent ranks that count, the least urgent first."""
+        threshold = MIN_RANK_SHARE * self._counts.total()
         return sorted(
-            (r for r, n in self._counts.items() if r > rank and n >= least),
+            (r for r, n in self._counts.items() if r > rank and n >= threshold),
             reverse=True)
 
     def is_most_urgent(self, rank):
-        """Returns whether no rank in use is more urgent."""
-        least = MIN_RANK_SHARE * self._counts.total()
-        return not any(r < rank and n >= least for r, n in self._counts.items())
+        """Returns whether no rank that counts is more urgent."""
+        threshold = MIN_RANK_SHARE * self._counts.total()
+        return not any(
+            r < rank and n >= threshold for r, n in self._counts.items())
 
     def queue_limit_ms(self, rank, target_ms):
-        """Returns the longest queue a request may be put behind, ms.
+        """Returns the longest queue that a request may be put behind, ms.
 
-        ``GROWTH`` times what the next less urgent rank bears, at least. With
-        limits from their own targets alone, those with a short one were
-        refused while bulk began: bulk of several entries at once fills a
-        queue to twice its own limit, and the more urgent overtake it anyway.
+        It is at least ``LIMIT_GROWTH_PER_RANK`` times the limit of the next
+        less urgent rank. If it depended on the own target alone, urgent
+        requests with a short target would be refused while a bulk load starts:
+        bulk requests of several entries fill a queue to twice their limit,
+        although more urgent requests overtake them.
 
         Args:
             rank: Its rank.
-            target_ms: Target for its first event, ms; 0 for none.
+            target_ms: Latency target of its first event, ms; 0 for none.
         """
         if not target_ms:
             return math.inf
@@ -78,15 +81,15 @@
 
 
 def retry_after_s(choice, limit_ms, rng=random):
-    """Returns after how long a request had better return, s, or None.
+    """Returns the retry-after time of a request to be refused, s, or None.
 
     Args:
-        choice: The ``placement.Choice`` for it: the best there is.
-        limit_ms: Longest queue it may be put behind, ms.
-        rng: Source of the spread.
+        choice: The ``placement.Choice`` of the best replica for it.
+        limit_ms: Longest queue that it may be put behind, ms.
+        rng: Random generator that spreads the retries.
     """
     if not choice.target.engine:
-        # Plain services turn away what they have no room for themselves.
+        # Plain services refuse requests beyond their capacity themselves.
         return None
     if choice.queue_ms <= limit_ms:
         return None
--- a/gorsefall/policy/partition.py
+++ b/gorsefall/policy/partition.py
@@ -1,7 +1,7 @@
-"""Which engines of a service are kept for requests that write.
+"""The decode partition: engines of a service for decode-heavy requests.
 
-A step that reads takes ten times as long as one that does not, and an event
-takes several steps, so one long prompt beside a stream makes it late.
+An engine step with prefill takes ten times as long as one without, and an event
+takes several steps, so that a single long prompt delays the streams beside it.
 """
 
 import math
@@ -10,52 +10,54 @@
 from gorsefall.policy import rendezvous
 
 PEAK_DEVIATIONS = 1.0
-"""Standard deviations by which the requests that write may rise over their
-number now, while their engines have slots for them."""
+"""Standard deviations by which the decode-heavy requests may exceed their
+current number while the partition still has slots for them."""
 
 SHRINK_DELAY_S = 20.0
-"""How long fewer engines have to do before one is given back to the others, s.
-Each change moves sessions, whose prompts are then read anew."""
+"""Time for which fewer engines must be sufficient before the partition shrinks
+by one, s. Each change moves sessions, whose prompts are then prefilled
+again."""
 
 
 class DecodePartition:
-    """How many engines are kept: as many as the requests that write fill."""
+    """Adapts the size of the decode partition to the decode-heavy requests."""
 
     def __init__(self):
         self._count = 1
-        self._lower_at = None
+        self._shrink_at = None
 
-    def decode_engines(self, engines, writing, now, unseen=0.0):
-        """Returns the names of the engines kept; half of all at most.
+    def decode_engines(self, engines, requests, now, unreported=0.0):
+        """Returns the names of the engines in it, at most half of all.
 
         Args:
             engines: The ``knowledge.ReplicaView`` of each engine of the
                 service.
-            writing: Requests that write, at all of them.
+            requests: Decode-heavy requests at all of them.
             now: Time, s (monotonic).
-            unseen: Those that others may have sent since they spoke.
+            unreported: Those that other entries may have sent since their last
+                reports.
         """
-        most = len(engines) // 2
-        if not most:
+        limit = len(engines) // 2
+        if not limit:
             return set()
         slots = statistics.fmean(t.slots for t in engines)
-        peak = writing + PEAK_DEVIATIONS * math.sqrt(writing) + unseen
-        needed = min(most, max(1, math.ceil(peak / slots)))
-        self._follow(needed, now)
-        return select_engines(engines, min(self._count, most))
+        peak = requests + PEAK_DEVIATIONS * math.sqrt(requests) + unreported
+        needed = min(limit, max(1, math.ceil(peak / slots)))
+        self._adapt(needed, now)
+        return select_engines(engines, min(self._count, limit))
 
-    def _follow(self, needed, now):
+    def _adapt(self, needed, now):
         if needed >= self._count:
             self._count = needed
-            self._lower_at = None
-        elif self._lower_at is None:
-            self._lower_at = now + SHRINK_DELAY_S
-        elif now >= self._lower_at:
+            self._shrink_at = None
+        elif self._shrink_at is None:
+            self._shrink_at = now + SHRINK_DELAY_S
+        elif now >= self._shrink_at:
             self._count -= 1
-            self._lower_at = None
+            self._shrink_at = None
 
 
 def select_engines(engines, count):
-    """Returns the names of the ``count`` engines kept, the same everywhere."""
+    """Returns the names of ``count`` engines, the same ones at every entry."""
     ordered = sorted(engines, key=lambda t: rendezvous.rank('quiet', t))
     return {t.name for t in ordered[:count]}
--- a/gorsefall/policy/readers.py
+++ b/gorsefall/policy/readers.py
@@ -1,8 +1,8 @@
-"""Which entries read the store for the others, and whom an entry asks.
+"""Which entries read the store for others, and which of them an entry queries.
 
-Every entry works that out for itself from whom it hears. Where views differ
-for a while, some entries more read, or one is asked that does not; what it
-tells is only older then.
+Every entry computes this from the live entries that it has observed. While the
+views of entries differ, a few more entries read, or an entry queries one that
+does not read and gets an older configuration.
 """
 
 import collections
@@ -13,18 +13,18 @@
 from gorsefall.policy import rendezvous
 
 MIN_READERS = 3
-"""Entries that read, at least: some may fail together."""
+"""Minimum number of readers: several may fail at the same time."""
 
 ENTRIES_PER_READER = 40
-"""Entries for which one reads: each asks once a second, and what a reader
-spends on answers stays within the part of a core that control may take."""
+"""Number of entries per reader. Each entry queries once a second, and the
+responses of a reader must not exceed the CPU share of the control plane."""
 
 MAX_READERS_QUERIED = 3
-"""Entries asked before the store is read."""
+"""Number of readers to query before an entry reads the store itself."""
 
 UNRESPONSIVE_AVOID_S = 5.0
-"""Time for which an entry that did not answer is asked last, s: by then it is
-left out as silent, or it was a datagram that was lost."""
+"""Time for which an entry that did not respond is queried last, s. After it the
+entry is either left out as silent, or just one datagram was lost."""
 
 
 class Candidate(typing.NamedTuple):
@@ -34,7 +34,7 @@
         name: Its name.
         host: Its address.
         zone: Its availability zone.
-        able: Whether it reaches the store, as it says.
+        can_read: Whether it reports that it reaches the store.
     """
     name: str
     host: str
@@ -43,33 +43,33 @@
 
 
 def with_store_access(candidates):
-    """Returns those that reach the store, or all where none does.
+    """Returns the entries that reach the store, or all if none does.
 
-    While it is away for everybody a few go on trying for all.
+    While no entry reaches the store, a few of them keep trying for all.
     """
     return [c for c in candidates if c.can_read] or list(candidates)
 
 
 def select_readers(candidates):
-    """Returns those that read, in as many availability zones as can be."""
+    """Returns the readers, spread over as many zones as possible."""
     ranked = sorted(candidates,
                     key=lambda c: rendezvous.rank(c.zone, c),
                     reverse=True)
-    seen = collections.Counter()
-    places = []
+    per_zone = collections.Counter()
+    order = []
     for candidate in ranked:
-        places.append((seen[candidate.zone], candidate))
-        seen[candidate.zone] += 1
-    places.sort(key=lambda place: place[0])
-    most = max(MIN_READERS, math.ceil(len(ranked) / ENTRIES_PER_READER))
-    return [candidate for _, candidate in places[:most]]
+        order.append((per_zone[candidate.zone], candidate))
+        per_zone[candidate.zone] += 1
+    order.sort(key=lambda position: position[0])
+    count = max(MIN_READERS, math.ceil(len(ranked) / ENTRIES_PER_READER))
+    return [candidate for _, candidate in order[:count]]
 
 
 class ReaderSelector:
-    """One entry's choice of whom to ask."""
+    """Selects the readers that one entry queries."""
 
     def __init__(self, own, rng):
-        """Creates a choice.
+        """Creates a selector.
 
         Args:
             own: This entry's ``Candidate``.
@@ -81,41 +81,42 @@
         self._last = None
 
     def is_reader(self, others):
-        """Returns whether this entry reads.
+        """Returns whether this entry is a reader.
 
         Args:
-            others: The ``Candidate`` objects heard, without this entry.
+            others: The ``Candidate`` objects of the other live entries.
         """
         return self._own in select_readers([self._own, *others])
 
     def has_dependents(self, others):
-        """Returns whether any entry does not read."""
+        """Returns whether any entry is no reader and depends on the readers."""
         everyone = [self._own, *others]
         return len(select_readers(everyone)) < len(everyone)
 
     def query_order(self, others, now):
-        """Returns the hosts to ask, first to last.
+        """Returns the hosts to query, in order.
 
-        Who was asked last time comes later: a reader tells those who asked
-        it of news, so two of them do, and one that is cut off from the store
-        hides nothing for long.
+        The reader that was queried last comes later. A reader sends changes to
+        the entries that queried it, so an entry gets them from two readers, and
+        a reader that is cut off from the store cannot hide a change for long.
         """
-        found = select_readers(others)
-        self._rng.shuffle(found)
-        found.sort(key=lambda c: (self._avoids(c, now), c.host == self._last))
-        hosts = [c.host for c in found[:MAX_READERS_QUERIED]]
+        selected = select_readers(others)
+        self._rng.shuffle(selected)
+        selected.sort(
+            key=lambda c: (self._is_avoided(c, now), c.host == self._last))
+        hosts = [c.host for c in selected[:MAX_READERS_QUERIED]]
         if hosts:
             self._last = hosts[0]
         return hosts
 
-    def _avoids(self, candidate, now):
+    def _is_avoided(self, candidate, now):
         return self._avoided.get(candidate.host, float('-inf')) > now
 
     def record_no_response(self, host, now):
-        """Notes that an entry did not answer."""
+        """Records that an entry did not respond."""
         self._avoided = {h: t for h, t in self._avoided.items() if t > now}
         self._avoided[host] = now + UNRESPONSIVE_AVOID_S
 
     def record_response(self, host):
-        """Notes that an entry answered."""
+        """Records that an entry responded."""
         self._avoided.pop(host, None)
--- a/gorsefall/policy/unreported.py
+++ b/gorsefall/policy/unreported.py
@@ -1,50 +1,51 @@
-"""How many requests other entries placed that nobody told of yet.
+"""Estimates the requests that other entries sent and have not reported yet.
 
-With many entries what each knows of the others' work is seconds old. All see
-the same replica idle, and each sends there: one stands full beside ten empty
-ones. So an entry first places, in its mind, those that it cannot know of.
+With many entries the reports of their work are seconds old. If all of them see
+the same replica idle, all send to it, and it is full beside ten idle ones. So
+an entry simulates the placement of these requests before its own.
 """
 
 import typing
 
 SMOOTHING = 0.1
-"""How fast the share of the requests that write follows: over about ten."""
+"""Smoothing of the share of decode-heavy requests: over about ten requests."""
 
 INITIAL_DECODE_HEAVY_SHARE = 0.3
-"""First guess of that share."""
+"""Initial value of that share."""
 
 MAX_SIMULATED = 64
-"""Most requests that are placed in mind: each takes 10 us, and more than two
-for each of today's engines hardly changes where the next one goes."""
+"""Maximum number of simulated requests. Each takes 10 us, and more than two per
+engine hardly change the placement of the next one."""
 
 
 class Arrivals(typing.NamedTuple):
-    """The others' requests.
+    """The requests of other entries.
 
     Attributes:
-        per_s: Requests they send a second.
-        age_s: Mean age of what they told, s.
+        per_s: Requests that they send per second.
+        age_s: Mean age of their last statuses, s.
     """
     per_s: float = 0.0
     age_s: float = 0.0
 
 
 class Unreported:
-    """Estimates the requests of one service that are under way unseen.
+    """Estimates the unreported requests of one service.
 
     Attributes:
-        arrivals: The others' ``Arrivals``.
+        arrivals: The ``Arrivals`` of other entries.
     """
 
     def __init__(self):
         self.arrivals = Arrivals()
-        self._writing_share = INITIAL_DECODE_HEAVY_SHARE
+        self._decode_heavy_share = INITIAL_DECODE_HEAVY_SHARE
 
-    def record_request(self, writes):
-        """Notes an own request; the others' are taken to be of its kind."""
-        self._writing_share += SMOOTHING * (writes - self._writing_share)
+    def record_request(self, decode_heavy):
+        """Records an own request; others are assumed to be of the same kind."""
+        self._decode_heavy_share += SMOOTHING * (decode_heavy -
+                                                 self._decode_heavy_share)
 
     def decode_heavy(self):
-        """Returns how many of those that write are unseen."""
+        """Returns the expected number of unreported decode-heavy requests."""
         expected = self.arrivals.per_s * self.arrivals.age_s
-        return expected * self._writing_share
+        return expected * self._decode_heavy_share
