--- a/gorsefall/policy/admission.py
+++ b/gorsefall/policy/admission.py
@@ -1,7 +1,7 @@
-"""Admission and scheduling: tier queues, shedding, promotion of the starved.
+"""Admission and scheduling: tier queues, shedding and promotion.
 
-Pure logic: the entry feeds it arrivals, completions, load and the clock,
-and acts on what it returns. Tested against a simple oracle.
+Pure logic: the entry passes in arrivals, completions, load and the time, and
+acts on the results.
 """
 
 import collections
@@ -15,14 +15,14 @@
 from gorsefall.policy import limits
 
 STARVE_S = 4.0
-"""A request without service for this long may be promoted."""
+"""Time without service after which a request may be promoted, s."""
 
 PROMOTED_SHARE = 1 / 8
-"""Part of the pool's places that promoted requests may hold at most."""
+"""Maximum share of the pool's slots for promoted requests."""
 
 WAIT_SHARE = 0.4
-"""Part of its latency target a request may be expected to wait; the rest is
-for reading the prompt and for the estimate's error."""
+"""Maximum expected wait of a request as a share of its latency target; the rest
+is for the prefill and the error of the estimate."""
 
 TOP_PRIORITY = 1
 TIERS = range(1, 6)
@@ -30,26 +30,26 @@
 
 
 class Verdict(enum.Enum):
-    """What admission decided for an arrival."""
+    """The decision on an arrival."""
     RUN = 'run'
     QUEUED = 'queued'
 
 
 @dataclasses.dataclass
 class Ticket:
-    """A request known to admission.
+    """A request that admission tracks.
 
     Attributes:
         rid: Request id.
         tier: 1 (highest) to 5.
         arrived: Arrival time, s (monotonic).
-        deadline: Time by which it must have started, s (monotonic).
-        scopes: Limits it counts against, see ``limits.Limits.admit``.
-        target_s: Latency target for its first token, s; a request that
-            cannot start within it is refused on arrival.
-        group: Its class; places are shared evenly among a tier's classes.
-        priority: What the engine is told; its tier unless promoted.
-        promoted: Whether it holds one of the promoted places.
+        deadline: Time by which it must start, s (monotonic).
+        scopes: Limits that it counts against, see ``limits.Limits.admit``.
+        target_s: Latency target for its first token, s; a request that is not
+            expected to start in time is refused on arrival.
+        group: Its class; slots are shared evenly among the classes of a tier.
+        priority: The priority sent to the engine; its tier unless promoted.
+        promoted: Whether it holds one of the slots for promoted requests.
     """
     rid: ids.RequestId
     tier: int
@@ -66,10 +66,10 @@
 
 
 class StartPace:
-    """How fast queued requests of some tier or higher are being started.
+    """The rate at which queued requests of a tier or above are started.
 
-    Measured, since it depends on what more urgent tiers and other entries
-    leave over, which this entry cannot compute.
+    It depends on the slots that more urgent tiers and other entries leave over,
+    which this entry cannot compute, so it is observed.
 
     Attributes:
         interval_s: Smoothed time between starts from the queue, s.
@@ -80,7 +80,7 @@
         self._last = None
 
     def record_start(self, now):
-        """Notes a start from the queue."""
+        """Records the start of a queued request."""
         if self._last is not None:
             gap = now - self._last
             old = self.interval_s or gap
@@ -88,7 +88,7 @@
         self._last = now
 
     def record_idle(self):
-        """Notes that nothing waits: the next gap says nothing of the pace."""
+        """Records an empty queue: the next interval is not a sample."""
         self._last = None
 
     def expected_interval_s(self, now, otherwise):
@@ -96,7 +96,7 @@
 
         Args:
             now: Time, s (monotonic).
-            otherwise: What to expect while nothing has been measured, s.
+            otherwise: The result while there is no sample, s.
         """
         if self._last is None:
             return self.interval_s or otherwise
@@ -104,14 +104,14 @@
 
 
 class Admission:
-    """What every admission policy shares: limits, running, waiting.
+    """Base of all admission policies: limits, running and waiting requests.
 
     Attributes:
-        capacity: Requests the pool's live replicas run at once.
+        capacity: Requests that the pool's live replicas run at once.
         others: ``others[p]``: requests of other entries with priority p or
-            more urgent, estimated from load reports; None when unknown.
-        running: Tickets running, by request id.
-        served_time_s: Smoothed time a request holds its place, s.
+            more urgent, estimated from load reports; None if unknown.
+        running: Running tickets by request id.
+        served_time_s: Smoothed time that a request holds its slot, s.
     """
 
     def __init__(self, capacity, queue_limit=2000, limiter=None):
@@ -128,8 +128,8 @@
         """Admits, queues or refuses ``ticket``.
 
         Returns:
-            ``(Verdict, shed)``: ``shed`` lists tickets of lower tiers pushed
-            out of the queue to make room; each gets a final answer at once.
+            ``(Verdict, shed)``: ``shed`` lists tickets of lower tiers that were
+            removed from the full queue; each gets a final response at once.
 
         Raises:
             errors.RateLimitedError: A limit of its customer or class is
@@ -140,7 +140,7 @@
         raise NotImplementedError
 
     def finish(self, rid, now, served_s=None):
-        """Marks ``rid`` done or withdrawn; returns tickets to start now."""
+        """Removes a finished or withdrawn request; returns tickets to start."""
         ticket = self.running.pop(rid, None)
         if ticket is not None:
             self._running_of[ticket.group] -= 1
@@ -154,28 +154,27 @@
         return self.drain(now)
 
     def drain(self, now):
-        """Starts waiting tickets while there is room; returns them."""
+        """Starts waiting tickets while slots are available; returns them."""
         raise NotImplementedError
 
     def expire(self, now):
-        """Withdraws waiting tickets past their deadline; returns them."""
-        late = [t for t in self._waiting.values() if t.deadline < now]
-        for t in late:
+        """Removes waiting tickets past their deadline; returns them."""
+        expired = [t for t in self._waiting.values() if t.deadline < now]
+        for t in expired:
             del self._waiting[t.rid]
             self.limiter.release(t.scopes)
-        return late
+        return expired
 
     def promote(self, now, silent):
-        """Promotes starved tickets; policies without tiers do nothing.
+        """Promotes starved tickets; does nothing in policies without tiers.
 
         Args:
             now: Time, s (monotonic).
-            silent: ``rid -> time of last sign of service`` of running
-                requests.
+            silent: ``rid -> time of the last progress`` of running requests.
 
         Returns:
-            ``(to start, to raise)``: queued tickets that start now, and
-            running tickets whose engine must be told the new priority.
+            ``(to start, to raise)``: queued tickets that start now, and running
+            tickets whose new priority must be sent to the engine.
         """
         del now, silent
         return [], []
@@ -189,18 +188,18 @@
         self._running_of[ticket.group] += 1
 
     def fair_share(self):
-        """Returns this entry's part of the pool's places, at least 1."""
+        """Returns this entry's share of the pool's slots, at least 1."""
         return max(1, math.ceil(self.capacity / self.limiter.shares.entries))
 
 
 class TierAdmission(Admission):
-    """Serves tiers in order, promotes the starved, sheds lowest tier first.
+    """Serves tiers in order, promotes starved requests, sheds low tiers first.
 
-    A request starts when fewer than ``capacity`` requests of its tier or
-    higher are running: lower tiers running then are preempted by the engine,
-    which honours priorities, and resume later. Each entry may always use
-    its fair share of places; beyond it only what fresh load reports show to
-    be free, so that stale reports cannot overcommit the engines.
+    A request starts if fewer than ``capacity`` requests of its tier or above
+    are running: the engine preempts running requests of lower tiers, which
+    resume later. An entry may always use its fair share of the slots, and
+    beyond it only slots that recent load reports show as free, so that stale
+    reports cannot overcommit the engines.
     """
 
     def __init__(self, capacity, queue_limit=2000, limiter=None):
@@ -217,16 +216,16 @@
             raise
 
     def _place(self, ticket, now):
-        urgent = any(t.priority <= ticket.tier for t in self._waiting.values())
-        if not urgent and self._room(ticket.tier):
+        outranked = any(
+            t.priority <= ticket.tier for t in self._waiting.values())
+        if not outranked and self._has_slot(ticket.tier):
             self._run(ticket)
             return Verdict.RUN, []
         wait = self.expected_wait_s(ticket.tier, now)
         if wait > ticket.target_s * WAIT_SHARE or now + wait > ticket.deadline:
-            # It would be served late if at all, and make every request
-            # behind it late too (noticed as a burst in which all of a
-            # class is served and none in time).
-            raise errors.ShedError('cannot start in time',
+            # It would be late and delay every request behind it (symptom: a
+            # burst in which all requests of a class are served, none in time).
+            raise errors.ShedError('the request cannot start in time',
                                    retry_after=retry_delay.after_queue_s(wait))
         shed = []
         if len(self._waiting) >= self.queue_limit:
@@ -234,7 +233,8 @@
                          key=lambda t: (t.tier, t.arrived))
             if victim.tier <= ticket.tier:
                 raise errors.ShedError(
-                    'queue full', retry_after=retry_delay.after_queue_s(wait))
+                    'the queue is full',
+                    retry_after=retry_delay.after_queue_s(wait))
             del self._waiting[victim.rid]
             self.limiter.release(victim.scopes)
             shed.append(victim)
@@ -249,24 +249,24 @@
 
     def drain(self, now):
         """See ``Admission.drain``."""
-        out = []
+        started = []
         while self._waiting:
             best = min(self._waiting.values(), key=self._order)
-            if not self._room(best.tier):
+            if not self._has_slot(best.tier):
                 break
             del self._waiting[best.rid]
             self._run(best)
-            self._note_start(best, now)
-            out.append(best)
-        return out
+            self._record_start(best, now)
+            started.append(best)
+        return started
 
     def _order(self, ticket):
-        # Within a tier, the class with the fewest requests running goes
-        # first: a class that bursts within its limits would otherwise fill
-        # the queue ahead of its peers.
+        # Within a tier, the class with the fewest running requests is first:
+        # otherwise a burst of one class, within its limits, would fill the
+        # queue ahead of the other classes.
         return (ticket.tier, self._running_of[ticket.group], ticket.arrived)
 
-    def _note_start(self, ticket, now):
+    def _record_start(self, ticket, now):
         top = min((t.tier for t in self._waiting.values()), default=None)
         for tier in TIERS:
             if tier >= ticket.tier:
@@ -277,25 +277,25 @@
     def promote(self, now, silent):
         """See ``Admission.promote``.
 
-        Under sustained higher-tier load a low tier would wait for ever, in
-        the queue or preempted at an engine (noticed as a class whose served
-        count stands still). A bounded number of places goes to the requests
-        that have waited longest, whatever their tier. Being bounded, they
-        take at most ``PROMOTED_SHARE`` of the pool; they never preempt, so
-        no higher tier is stopped for them.
+        Under sustained load of higher tiers a low tier would wait for ever, in
+        the queue or preempted at an engine (symptom: the number of served
+        requests of a class stops growing). So the requests that have waited
+        longest get a bounded number of slots, whatever their tier: at most
+        ``PROMOTED_SHARE`` of the pool. They never preempt others, so no request
+        of a higher tier is stopped for them.
         """
-        room = max(1, int(self.fair_share() * PROMOTED_SHARE))
-        room -= sum(1 for t in self.running.values() if t.promoted)
+        available = max(1, int(self.fair_share() * PROMOTED_SHARE))
+        available -= sum(1 for t in self.running.values() if t.promoted)
         starved = [(t.arrived, t.rid, t) for t in self._waiting.values()]
         starved += [(silent[t.rid], t.rid, t)
                     for t in self.running.values()
                     if t.rid in silent and not t.promoted]
         start, raised = [], []
         for since, rid, t in sorted(starved, key=lambda s: s[:2]):
-            if room <= 0 or now - since < STARVE_S:
+            if available <= 0 or now - since < STARVE_S:
                 break
             t.promoted, t.priority = True, TOP_PRIORITY
-            room -= 1
+            available -= 1
             if self._waiting.pop(rid, None) is None:
                 raised.append(t)
             else:
@@ -303,7 +303,7 @@
                 start.append(t)
         return start, raised
 
-    def _room(self, tier):
+    def _has_slot(self, tier):
         own = sum(1 for t in self.running.values() if t.priority <= tier)
         if own < self.fair_share():
             return True
--- a/gorsefall/policy/attempt_timeouts.py
+++ b/gorsefall/policy/attempt_timeouts.py
@@ -1,49 +1,49 @@
-"""How long an attempt may be silent before another replica is asked.
+"""Attempt timeouts: how long to wait before another replica is tried.
 
-Under overload every replica is slow. Asking another one then gives up a place
-in a queue for the end of another, and the work done so far with it.
+Under overload every replica is slow. Trying another one then gives up a place
+in a queue for the end of another queue, and loses the work done so far.
 """
 
 SMOOTHING = 0.125
 DEVIATION_SMOOTHING = 0.25
 DEVIATIONS = 4
-"""The usual estimate of a retransmission timeout: smoothed time plus four
-times its smoothed deviation, which few answers exceed."""
+"""As in the estimate of TCP's retransmission timeout: smoothed time plus four
+times its smoothed deviation, which few responses exceed."""
 
 ATTEMPT_SHARE = 0.4
-"""Part of the time left that an attempt which may be repeated waits for its
-answer to begin, before another replica is asked."""
+"""Share of the remaining time that a repeatable attempt waits for the start of
+its response before another replica is tried."""
 
 MIN_ATTEMPT_S = 0.15
-"""Shortest such wait, s: over three times the slowest usual call (110 ms is
-the longest on the services' data sheet, at five times the usual 22)."""
+"""Minimum of this timeout, s: over three times the longest call of a service,
+110 ms, which is five times the usual 22 ms."""
 
 MIN_STREAM_ATTEMPT_S = 1.2
-"""The same for streams, whose first event waits for its prompt to be read."""
+"""The same for streams, whose first event follows the prefill of the prompt."""
 
 STREAM_GAP_S = 1.0
-"""Silence within a stream that may be resumed, after which another replica
-is asked, s: over twice the longest pause that callers take for on time."""
+"""Silence within a resumable stream after which another replica is tried, s:
+over twice the longest gap that counts as on time."""
 
 BACKUP_GAP_S = 0.5
-"""Silence within a stream that has a copy, after which its replica is looked
-for, s: twice the longest pause that callers take for on time, a quarter of
-what they bear."""
+"""Silence within a stream with a KV backup after which its replica is probed,
+s: twice the longest gap that counts as on time, a quarter of the gap at which
+callers give up."""
 
 
 class StartLatency:
-    """The usual time until an answer begins, of one service and kind."""
+    """Smoothed time until the start of a response, of one service and kind."""
 
     def __init__(self):
         self._mean_s = None
         self._deviation_s = 0.0
 
     def record(self, after_s):
-        """Notes an answer that began after ``after_s``.
+        """Records a response that started after ``after_s``.
 
-        Attempts that are given up count too, with the time they waited: else
-        only the quick ones would be seen, and the more are given up the
-        shorter the wait would seem.
+        Abandoned attempts count as well, with the time that they waited:
+        otherwise only fast responses would count, and the estimate would become
+        shorter the more attempts are abandoned.
         """
         if self._mean_s is None:
             self._mean_s = after_s
@@ -54,19 +54,19 @@
         self._mean_s += SMOOTHING * (after_s - self._mean_s)
 
     def timeout_s(self, floor_s):
-        """Returns how long to wait, at least ``floor_s``."""
+        """Returns the estimated timeout, at least ``floor_s``."""
         if self._mean_s is None:
             return floor_s
         return max(floor_s, self._mean_s + DEVIATIONS * self._deviation_s)
 
 
 def attempt_s(usual, left_s, *, streams):
-    """Returns how long an attempt's answer may take to begin, s.
+    """Returns the time within which the response to an attempt must start, s.
 
     Args:
-        usual: The ``Patience`` of its service and kind.
-        left_s: Time the request has left, s.
-        streams: Whether the answer is a stream.
+        usual: The ``StartLatency`` of its service and kind.
+        left_s: Remaining time of the request, s.
+        streams: Whether the response is a stream.
     """
     floor_s = MIN_STREAM_ATTEMPT_S if streams else MIN_ATTEMPT_S
     return max(ATTEMPT_SHARE * left_s, usual.timeout_s(floor_s))
--- a/gorsefall/policy/freshness.py
+++ b/gorsefall/policy/freshness.py
@@ -1,9 +1,9 @@
-"""Proof that what an entry believes is current, on a clock that never stops.
+"""Confirmation that a configuration is current, on a clock that never stops.
 
-A key that was taken away must stop working within a bound at every entry,
-also at one that is cut off, frozen or just woken. An entry cannot know what
-it has not been told, so it acts on a configuration only while a read of it
-is recent enough.
+A revoked key must stop working within a bound at every entry, even at one that
+is cut off, suspended or just resumed. Such an entry has not received the
+change, so an entry uses a configuration only while its last read is recent
+enough.
 """
 
 import math
@@ -11,10 +11,10 @@
 
 
 def weight(age_s, fade_s):
-    """Returns how far to trust a report of that age, 0.0 to 1.0.
+    """Returns the weight of a report of that age, 0.0 to 1.0.
 
-    A report describes the past. Its weight falls evenly to nothing at
-    ``fade_s``, so that a stale one cannot steer traffic.
+    It decreases linearly to 0 at ``fade_s``, so that a stale report has no
+    effect on placement.
     """
     return min(1.0, max(0.0, 1.0 - age_s / fade_s))
 
@@ -22,17 +22,17 @@
 def clock():
     """Returns the time, s, on a clock that also counts suspended time.
 
-    The monotonic clock stands still while a VM is suspended: a woken entry
-    would take its old proof for fresh and let revoked keys in.
+    The monotonic clock stops while a VM is suspended: a resumed entry would
+    take an old confirmation as recent and accept revoked keys.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class Confirmation:
-    """When the configuration was last confirmed.
+    """The last confirmation of the configuration by a read.
 
     Attributes:
-        bound_s: Oldest proof on which requests may be handed on, s.
+        bound_s: Maximum age at which requests may be forwarded, s.
         sent_at: When the last confirming read was sent, s (``clock``).
     """
 
@@ -41,26 +41,26 @@
         self.sent_at = float('-inf')
 
     def record_read(self, sent_at):
-        """Notes an answered read.
+        """Records a successful read.
 
-        It is dated from when it was sent: the answer holds what was true at
-        some moment since then, and may have been long on its way.
+        Its age counts from when it was sent: the response reflects some moment
+        after that, and may have been delayed.
         """
         self.sent_at = max(self.sent_at, sent_at)
 
     def age_s(self):
-        """Returns the age of the proof, s."""
+        """Returns the age of the confirmation, s."""
         return clock() - self.sent_at
 
     def logged_age_s(self):
-        """Returns the age for a log line, s, or None before any proof.
+        """Returns the age for a log line, s, or None before the first read.
 
-        JSON knows no infinity: a line that holds one cannot be decoded,
-        just when an entry that knows nothing yet has to be explained.
+        JSON has no infinity: a line with one could not be decoded, which would
+        affect the log of an entry that has not read anything yet.
         """
         age_s = self.age_s()
         return None if math.isinf(age_s) else round(age_s, 3)
 
     def is_current(self):
-        """Returns whether requests that need a key may be handed on now."""
+        """Returns whether requests with a key may be forwarded now."""
         return self.age_s() <= self.bound_s
--- a/gorsefall/policy/health.py
+++ b/gorsefall/policy/health.py
@@ -1,76 +1,77 @@
-"""Leaving replicas that fail alone for a while, and trying them again."""
+"""Ejects failing replicas for a while, and tries them again."""
 
 EJECT_BASE_S = 0.5
-"""Pause after a first failure, s: a process that crashed is started again in
-about a second, so most of its absence is covered and little of its presence."""
+"""Ejection time after a first failure, s. A crashed process restarts in about a
+second, so this covers most of its absence and little of its uptime."""
 
 EJECT_MAX_S = 10.0
-"""Longest pause, s, so that one that is back is found again within it."""
+"""Maximum ejection time, s: a recovered replica is used again within it."""
 
 
 def select_healthy(targets, now):
-    """Returns those of ``targets`` that get work, at least one if any is there.
+    """Returns those of ``targets`` that get requests.
 
-    While all are paused, the one whose pause ends first is asked: a guess is
-    better than refusing everything.
+    While all are ejected, it is the one whose ejection ends first: it may work,
+    which is better than refusing all requests.
 
     Args:
         targets: List of ``Health`` objects.
         now: Time, s (monotonic).
     """
-    fit = [t for t in targets if t.eject_until <= now]
-    if fit or not targets:
-        return fit
+    healthy = [t for t in targets if t.eject_until <= now]
+    if healthy or not targets:
+        return healthy
     return [min(targets, key=lambda t: t.eject_until)]
 
 
 class Health:
-    """Failures in a row of one replica, and until when it gets no work.
+    """Consecutive failures of one replica, and the end of its ejection.
 
     Attributes:
         failures: Consecutive failed calls.
-        eject_until: No new work before this time, s (monotonic).
-        unheard: The pause is for a missed load report alone.
+        eject_until: No new requests before this time, s (monotonic).
+        missed_report_only: Whether a missed load report is the only reason of
+            the ejection.
     """
     failures = 0
     eject_until = 0.0
     missed_report_only = False
 
     def record_failure(self, now):
-        """Notes a failed call and ejects the replica for a while.
+        """Records a failed call and ejects the replica for a while.
 
-        Without it a crashing replica, being idle, looks least busy and
-        draws every next request (noticed as one replica with most of the
-        failed attempts). The time doubles with each failure in a row; after
-        it, the next request probes the replica.
+        Without ejection a crashing replica looks idle and attracts every next
+        request (symptom: most failed attempts are at one replica). The time
+        doubles with each consecutive failure; after it, the next request probes
+        the replica.
         """
         self.missed_report_only = False
         self.failures += 1
-        pause = min(EJECT_MAX_S, EJECT_BASE_S * 2**(self.failures - 1))
-        self.eject_until = now + pause
+        eject_s = min(EJECT_MAX_S, EJECT_BASE_S * 2**(self.failures - 1))
+        self.eject_until = now + eject_s
 
     def record_success(self):
-        """Notes a whole answer: the replica is healthy again."""
+        """Records a complete response: the replica is healthy again."""
         self.missed_report_only = False
         self.failures = 0
         self.eject_until = 0.0
 
     def record_missed_report(self, now):
-        """Notes that a load report could not be read.
+        """Records that a load report could not be read.
 
-        Only the first one counts: requests tell more of a replica that is
-        known to be in trouble.
+        It counts for a healthy replica only: for a failing one the results of
+        requests are more reliable.
         """
         if not self.failures:
             self.record_failure(now)
             self.missed_report_only = True
 
     def record_report(self):
-        """Notes a load report: a pause for a missed one is over.
+        """Records a load report: an ejection for a missed one ends.
 
-        A replica that is asked before it listens would else stay out for
-        half a second after it is up (noticed as a 502 just after a start,
-        with a sound replica that was never asked).
+        Otherwise a replica that is polled before it listens would stay ejected
+        for half a second after its start (symptom: a 502 just after a start
+        although a healthy replica was never tried).
         """
         if self.missed_report_only:
             self.record_success()
--- a/gorsefall/policy/limits.py
+++ b/gorsefall/policy/limits.py
@@ -1,7 +1,7 @@
 """Rate and concurrency limits, shared by the live entries.
 
-Each entry owns an equal part of every limit and may use more of it as far
-as its peers, by their own lagging word, leave it unused.
+Each entry owns an equal share of every limit and may borrow what its peers do
+not use, according to their delayed reports.
 """
 
 import dataclasses
@@ -12,7 +12,7 @@
 from gorsefall import errors
 
 RATE_WINDOW_S = 1.0
-"""Time over which an entry's own rate is smoothed, s."""
+"""Time constant of the smoothing of an entry's own rate, s."""
 
 
 @dataclasses.dataclass
@@ -29,16 +29,16 @@
     at: float
 
     def refill(self, now, rate):
-        """Adds what has accrued since ``at``; adopts ``rate``.
+        """Adds the tokens accrued since ``at`` and sets a new ``rate``.
 
-        The level is kept when the rate changes. Refilling on a change would
-        hand out a fresh burst each time an entry joins or leaves (noticed
-        as a class over its rate while the VM list flaps).
+        A change of the rate keeps the level. Refilling would allow a new burst
+        each time an entry joins or leaves (symptom: a class exceeds its rate
+        while the VM list changes back and forth).
         """
         self.level += (now - self.at) * self.rate
         self.at = now
         self.rate = rate
-        # At most one second's worth, at least one request.
+        # The tokens of one second at most, but of one request at least.
         self.level = min(self.level, max(1.0, rate))
 
     def wait_s(self):
@@ -50,30 +50,30 @@
 
 @dataclasses.dataclass
 class Shares:
-    """This entry's own part of every limit, from membership alone.
+    """This entry's own share of every limit, from membership alone.
 
-    All entries read the same VM list, so each computes its part without a
-    message. While the list lags behind a join, the sum of the parts exceeds
-    a limit by at most one part per joining entry.
+    All entries read the same VM list, so each computes its share without a
+    message. While the list lags behind a join, the sum of the shares exceeds a
+    limit by at most one share per joining entry.
 
     Attributes:
-        entries: Live entries, at least 1.
+        entries: Number of live entries, at least 1.
         rank: This entry's index among them, from 0.
     """
     entries: int = 1
     rank: int = 0
 
     def rate(self, limit):
-        """Returns this entry's part of ``limit`` requests per second."""
+        """Returns this entry's share of ``limit`` requests per second."""
         return limit / self.entries
 
     def concurrency(self, key, limit):
-        """Returns this entry's part of ``limit`` requests in flight.
+        """Returns this entry's share of ``limit`` requests in flight.
 
-        The remainder of the division goes to entries picked by a hash of
-        ``key``, so that the parts add up to the limit and no entry gets the
-        remainder of every class. A limit below the number of entries gives
-        each entry 1: else some entries would refuse the class for ever.
+        The remainder of the division goes to entries selected by a hash of
+        ``key``, so that the shares add up to the limit and no entry gets the
+        remainder of every class. If the limit is below the number of entries,
+        each entry gets 1: otherwise some would refuse the class for ever.
         """
         base, rest = divmod(limit, self.entries)
         turn = xxhash.xxh32_intdigest(repr(key).encode()) + self.rank
@@ -82,30 +82,30 @@
 
 @dataclasses.dataclass
 class Usage:
-    """What one entry uses of one limit.
+    """The usage of one limit by one entry.
 
     Attributes:
-        inflight: Requests admitted and not finished.
-        rate: Requests admitted per second, smoothed.
+        inflight: Admitted requests that are not finished.
+        rate: Smoothed number of admitted requests per second.
     """
     inflight: float = 0
     rate: float = 0.0
 
 
-class _Own(Usage):
-    """This entry's use of one limit, with its token bucket."""
+class _OwnUsage(Usage):
+    """The usage of one limit by this entry, with its token bucket."""
 
-    def __init__(self, part, now):
+    def __init__(self, share, now):
         super().__init__()
-        self.bucket = Bucket(part, max(1.0, part), now)
+        self.bucket = Bucket(share, max(1.0, share), now)
         self._at = now
 
     def decay(self, now):
-        """Lets the smoothed rate fall off with time."""
+        """Decays the smoothed rate to the time ``now``, s (monotonic)."""
         self.rate *= math.exp((self._at - now) / RATE_WINDOW_S)
         self._at = now
 
-    def take(self):
+    def acquire(self):
         """Counts one admitted request."""
         self.bucket.level -= 1.0
         self.inflight += 1
@@ -113,13 +113,13 @@
 
 
 class Limits:
-    """Counts what each customer and class uses on this entry.
+    """Counts the usage of each customer and class at this entry.
 
     Attributes:
         shares: The ``Shares`` in force; membership updates it in place.
-        peers: ``key -> Use`` summed over peers with fresh word.
-        silent: Peers without fresh word; each counts as using its whole
-            part, so that what is not known is not borrowed.
+        peer_usage: ``key -> Usage``, the sum over peers with a recent report.
+        silent_peers: Number of peers without a recent report; each counts as
+            using its whole share, so that unknown capacity is not borrowed.
     """
 
     def __init__(self, shares=None):
@@ -129,12 +129,12 @@
         self._uses = {}
 
     def admit(self, scopes, now, hint_s):
-        """Takes one request from every scope, or from none.
+        """Admits one request under every scope, or under none.
 
         Args:
             scopes: List of ``(key, rate_per_s, concurrency)``.
             now: Time, s (monotonic).
-            hint_s: Retry-after for a concurrency refusal, s.
+            hint_s: Retry-after time of a refusal by concurrency, s.
 
         Raises:
             errors.RateLimitedError: Some scope is at its limit.
@@ -143,63 +143,65 @@
         for key, rate, conc in scopes:
             use = self._uses.get(key)
             if use is None:
-                use = _Own(self.shares.rate(rate), now)
+                use = _OwnUsage(self.shares.rate(rate), now)
                 self._uses[key] = use
             use.decay(now)
             use.bucket.refill(now, self._rate(key, use, rate))
-            most = self._concurrency(key, use, conc)
-            if use.inflight >= most:
-                raise errors.RateLimitedError(f'{key}: {most} in flight here',
-                                              retry_after=hint_s)
+            limit = self._concurrency(key, use, conc)
+            if use.inflight >= limit:
+                raise errors.RateLimitedError(
+                    f'{key}: {limit} requests in flight at this entry',
+                    retry_after=hint_s)
             if use.bucket.level < 1.0:
                 raise errors.RateLimitedError(
-                    f'{key}: over {use.bucket.rate:.2f}/s here',
+                    f'{key}: over {use.bucket.rate:.2f}/s at this entry',
                     retry_after=use.bucket.wait_s())
             uses.append(use)
         for use in uses:
-            use.take()
+            use.acquire()
 
-    def _silent(self):
-        known = self.shares.entries - 1
-        return known if self.silent_peers is None else min(
-            self.silent_peers, known)
+    def _silent_count(self):
+        peers = self.shares.entries - 1
+        return peers if self.silent_peers is None else min(
+            self.silent_peers, peers)
 
-    # Of what all entries together leave unused, each may take its part.
-    # When all take theirs at once, the limit is reached and not passed; what
-    # peers took since their last word is the only way over it, and the
-    # borrower gives way as soon as it is told.
+    # Each entry may borrow its share of what all entries leave unused. If all
+    # of them do, the limit is reached but not exceeded. Only requests that
+    # peers admitted after their last report can exceed it, and the borrower
+    # yields as soon as it receives the next report.
 
     def _concurrency(self, key, use, limit):
-        part = self.shares.concurrency(key, limit)
-        others = self.peer_usage.get(key,
-                                     Usage()).inflight + self._silent() * part
+        share = self.shares.concurrency(key, limit)
+        others = (self.peer_usage.get(key, Usage()).inflight +
+                  self._silent_count() * share)
         spare = max(0, limit - use.inflight - others)
-        return max(part, use.inflight + spare // self.shares.entries)
+        return max(share, use.inflight + spare // self.shares.entries)
 
     def _rate(self, key, use, limit):
-        part = self.shares.rate(limit)
-        others = self.peer_usage.get(key, Usage()).rate + self._silent() * part
+        share = self.shares.rate(limit)
+        others = (self.peer_usage.get(key, Usage()).rate +
+                  self._silent_count() * share)
         spare = max(0.0, limit - use.rate - others)
-        return max(part, use.rate + spare / self.shares.entries)
+        return max(share, use.rate + spare / self.shares.entries)
 
     def release(self, scopes):
-        """Gives back the places in flight taken by ``admit``."""
+        """Releases the concurrency that ``admit`` acquired."""
         for key, _, _ in scopes:
             self._uses[key].inflight -= 1
 
     def forget(self, live_keys):
-        """Drops idle counts of keys the catalogue no longer holds."""
+        """Drops idle counts of keys that the catalogue no longer contains."""
         for key in [k for k in self._uses if k not in live_keys]:
             if self._uses[key].inflight == 0:
                 del self._uses[key]
 
     def inflight(self, key):
-        """Returns the requests in flight of ``key`` on this entry."""
+        """Returns the requests of ``key`` in flight at this entry."""
         use = self._uses.get(key)
         return use.inflight if use else 0
 
     def report(self, now):
-        """Returns ``[[key, inflight, rate]]`` of limits in use, for peers."""
+        """Returns ``[[key, inflight, rate]]`` of the used limits, for peers."""
         out = []
         for key, use in self._uses.items():
             use.decay(now)
--- a/gorsefall/policy/prompts.py
+++ b/gorsefall/policy/prompts.py
@@ -1,8 +1,9 @@
-"""Which shared parts of prompts a replica keeps, as far as entries know.
+"""The shared prompt parts that each replica probably caches.
 
-A replica that read a shared part keeps it until others push it out. Entries
-know what they sent themselves, and tell each other, so that a request goes
-where its prompt lies, or where it is at least known that it does not.
+A replica caches a shared part that it prefilled until other parts evict it.
+Entries track the requests that they sent and report them to each other, so that
+a request goes to a replica that caches its prompt, or its cost elsewhere is at
+least known.
 """
 
 import collections
@@ -11,23 +12,24 @@
 import msgspec
 
 CACHE_SHARE = 0.6
-"""Part of a replica's memory that is taken for kept parts; the rest is for the
-requests that run. Parts beyond it, the longest unused first, count as gone."""
+"""Share of a replica's memory that is assumed to hold cached parts; the rest is
+for running requests. Parts beyond it count as evicted, least recently used
+first."""
 
 DEFAULT_MEMORY_TOKENS = 200_000
-"""Tokens of memory where nothing is told of it: the least of today's engines
-has 249,000."""
+"""Memory of a replica that does not report it, tokens: the smallest engine has
+249,000."""
 
 MIN_PART_TOKENS = 256
-"""Shared parts below this are not kept track of: reading one anew takes as
-long as a step or two."""
+"""Minimum size of a shared part to be tracked, tokens: prefilling a smaller one
+takes as long as a step or two."""
 
 
 class Part(typing.NamedTuple):
-    """A part of a prompt that requests share.
+    """A part of a prompt that several requests share.
 
     Attributes:
-        name: Its id; parts go on from all parts before them.
+        name: Its id; it covers all parts of the prompt before it as well.
         tokens: Its size.
     """
     name: str
@@ -35,7 +37,7 @@
 
 
 class Use(typing.NamedTuple):
-    """Shared parts that a request had read at a replica.
+    """The shared parts of a request that was sent to a replica.
 
     Attributes:
         replica: The replica's id.
@@ -46,34 +48,34 @@
 
 
 class PromptCache:
-    """The shared parts that one replica keeps."""
+    """The shared parts that one replica probably caches."""
 
     def __init__(self, memory=0):
-        """Creates a record of a replica that keeps nothing.
+        """Creates an empty cache.
 
         Args:
-            memory: Tokens that the replica has memory for; 0 if not told.
+            memory: Tokens that fit into the replica's memory; 0 if not known.
         """
-        self._room = CACHE_SHARE * (memory or DEFAULT_MEMORY_TOKENS)
+        self._capacity = CACHE_SHARE * (memory or DEFAULT_MEMORY_TOKENS)
         self._parts = collections.OrderedDict()
         self._size = 0
 
     def record_use(self, parts):
-        """Notes that a request with these shared parts went there."""
+        """Records a request with these shared parts at the replica."""
         for name, tokens in parts:
             if tokens < MIN_PART_TOKENS:
                 continue
             self._size += tokens - self._parts.pop(name, 0)
             self._parts[name] = tokens
-        while self._size > self._room:
+        while self._size > self._capacity:
             _, tokens = self._parts.popitem(last=False)
             self._size -= tokens
 
     def cached_tokens(self, parts):
-        """Returns the tokens of ``parts`` that need not be read there.
+        """Returns the tokens of ``parts`` that need no prefill there.
 
-        Parts too small to be tracked are taken for kept, as long as all before
-        them are.
+        A part too small to be tracked counts as cached if all parts before it
+        are cached.
         """
         total = 0
         for name, tokens in parts:
--- a/gorsefall/policy/rendezvous.py
+++ b/gorsefall/policy/rendezvous.py
@@ -1,17 +1,17 @@
-"""Who of several a word belongs to: the same answer everywhere, unasked.
+"""Rendezvous hashing: every entry assigns a key to the same replica.
 
-Rendezvous hashing: all entries that know the same replicas find the same one
-without a message, and only the words of a replica that left move.
+Entries with the same set of replicas compute the same result without exchanging
+messages, and if a replica leaves, only its own keys move.
 """
 
 import xxhash
 
 
-def rank(word, target):
-    """Returns the rank of ``target``, which has a ``name``, for ``word``."""
-    return xxhash.xxh64_intdigest((word + target.name).encode())
+def rank(key, target):
+    """Returns the rank of ``target``, which has a ``name``, for ``key``."""
+    return xxhash.xxh64_intdigest((key + target.name).encode())
 
 
-def best(word, targets):
-    """Returns the target that ``word`` belongs to, None without targets."""
-    return max(targets, key=lambda t: rank(word, t), default=None)
+def best(key, targets):
+    """Returns the target with the highest rank for ``key``, or None."""
+    return max(targets, key=lambda t: rank(key, t), default=None)
--- a/gorsefall/policy/retry_delay.py
+++ b/gorsefall/policy/retry_delay.py
@@ -1,34 +1,34 @@
-"""When refused callers had better return.
+"""Retry-after times for refused callers.
 
-Callers that were refused together must not return together: they would meet
-the queue that they made. So each is told another time.
+Callers that were refused at the same time must not retry at the same time, or
+they form the same queue again. So these times are randomized.
 """
 
 import random
 
 SHORT_DELAY_S = (0.05, 0.25)
-"""Range after a refusal that is no sign of a queue, s: what refuses is mostly
-one replica or one moment, and a queue of 64 calls of 22 ms on 18 places is
-worked off in 80 ms."""
+"""Range of delays after a refusal that indicates no queue, s. Its cause is
+mostly a single replica or of short duration, and 18 slots process a queue of 64
+calls of 22 ms in 80 ms."""
 
 QUEUE_WAIT_FACTORS = (1.0, 2.0)
-"""The same after a queue that was too long, in times of the wait in it: about
-then the queue that was seen is worked off."""
+"""Range of delays after a refusal because of a long queue, as factors of the
+wait in it: the queue has been processed by about then."""
 
 MIN_QUEUE_DELAY_S = 0.25
-"""Shortest such time, s: a few long prompts are read in it."""
+"""Minimum of the latter, s: enough to prefill a few long prompts."""
 
 
 def short_delay_s(rng=random):
-    """Returns a time after which what refused is likely to be over, s."""
+    """Returns a random delay after a refusal of short duration, s."""
     return rng.uniform(*SHORT_DELAY_S)
 
 
 def after_queue_s(wait_s, rng=random):
-    """Returns a time after which a queue is worked off, s.
+    """Returns a random delay by which a queue has been processed, s.
 
     Args:
-        wait_s: Expected wait in it, s.
-        rng: Source of the spread.
+        wait_s: Expected wait in the queue, s.
+        rng: Random generator.
     """
     return max(MIN_QUEUE_DELAY_S, wait_s) * rng.uniform(*QUEUE_WAIT_FACTORS)
--- a/gorsefall/policy/shutdown.py
+++ b/gorsefall/policy/shutdown.py
@@ -1,52 +1,57 @@
-"""How a process that answers requests ends without cutting one.
+"""Graceful shutdown of a process that serves requests.
 
-Readiness goes first, so that the balancer stops sending here. Until it has
-noticed, new requests are still served: refusing them at once would fail
-callers that could not know. Then nothing new is taken, and the process ends
-with its last answer, or when the time for that is over.
+First the process reports that it is not ready, so that the load balancer stops
+sending requests. Until the balancer has noticed, new requests are still served:
+refusing them at once would fail callers that could not know. Then no new ones
+are accepted, and the process exits after its last response or at a time limit.
 """
 
 import math
 
 
 class Shutdown:
-    """Where a process stands between its stop signal and its end."""
+    """The state of a process between its stop signal and its exit."""
 
     def __init__(self):
         self._refuse_at = math.inf
-        self._late_at = math.inf
+        self._overdue_at = math.inf
 
     @property
     def has_begun(self):
-        """Whether the process is to end."""
-        return self._late_at < math.inf
+        """Whether the shutdown has begun."""
+        return self._overdue_at < math.inf
 
     def begin(self, now, lame_duck_s, limit_s):
-        """Notes the stop signal.
+        """Begins the shutdown.
 
         Args:
             now: Time, s (monotonic).
-            lame_duck_s: How long new requests are still taken, s.
-            limit_s: How long what runs may take, s.
+            lame_duck_s: Time for which new requests are still accepted, s.
+            limit_s: Time for which running requests may continue, s.
 
         Returns:
-            False when it had begun before; later signals change nothing.
+            False if it had begun before; later signals change nothing.
         """
         if self.has_begun:
             return False
         self._refuse_at = now + lame_duck_s
-        self._late_at = now + limit_s
+        self._overdue_at = now + limit_s
         return True
 
     def accepts_requests(self, now):
-        """Whether new requests are taken."""
+        """Returns whether new requests are accepted."""
         return now < self._refuse_at
 
     def is_overdue(self, now):
-        """Whether what still runs must end now."""
-        return now >= self._late_at
+        """Returns whether requests that are still running must end now."""
+        return now >= self._overdue_at
 
     def is_finished(self, now, busy):
-        """Whether the process may end; ``busy`` while any answer is due."""
+        """Returns whether the process may exit.
+
+        Args:
+            now: Time, s (monotonic).
+            busy: Whether any response is outstanding.
+        """
         return not self.accepts_requests(now) and (not busy or
                                                    self.is_overdue(now))
--- a/gorsefall/policy/stalls.py
+++ b/gorsefall/policy/stalls.py
@@ -1,59 +1,67 @@
-"""Which replicas lie behind a link that loses packets, from their streams.
+"""Detects links that lose packets, by the timing of events in streams.
 
-What a link loses is sent again a fifth of a second later, and all that was
-written meanwhile waits behind it: silence, then several events at once. A
-replica that is busy reading a prompt is silent too, but goes on event by event.
+TCP retransmits a lost packet about 0.2 s later, and everything sent meanwhile
+waits behind it: the stream is silent, and then several events arrive at once. A
+replica that is busy with a prefill is silent as well, but continues event by
+event.
 """
 
 import math
 
 MIN_LOSS_SILENCE_S = 0.18
-"""Silence within a stream that may be a loss, s: usual implementations of TCP
-send again after 0.2 s at the earliest; an event takes 0.02 to 0.06."""
+"""Minimum silence within a stream that may be a packet loss, s. Usual TCP
+implementations retransmit after 0.2 s at the earliest; an event takes 0.02 to
+0.06 s."""
 
 MAX_BURST_GAP_S = 0.01
-"""Events that come closer to each other than this were held up together, s: no
-replica writes one in less than 0.018."""
+"""Maximum time between events that were stalled together, s: no replica takes
+less than 0.018 s for an event."""
 
 DECAY_S = 4.0
-"""Time over which what was seen is forgotten, s: a replica that is avoided for
-its link shows no more of it, so it has to be tried again."""
+"""Time constant of the decay of samples, s. A replica that is avoided because
+of its link yields no new samples, so it has to be tried again."""
 
 PRIOR_EVENTS = 25.0
-"""Events without a loss that are counted beside those seen: half of an answer,
-so that one loss is no sign yet, and a replica nobody was sent to is sound."""
+"""Events without a loss that are added to the samples, half of a response: a
+single loss has little effect, and a link without samples counts as good."""
 
 
 class LinkQuality:
-    """What the streams of one replica tell of the way to it."""
+    """Loss statistics of the link to one replica, from its streams."""
 
     def __init__(self):
         self._events = 0.0
-        self._held_up = 0.0
+        self._stalled = 0.0
         self._at = 0.0
 
-    def _kept(self, now):
+    def _decay(self, now):
         return math.exp((self._at - now) / DECAY_S)
 
     def record_events(self, events, now, *, held_up=False):
-        """Notes events of a stream, s (monotonic), and whether a loss shows."""
-        kept = self._kept(now)
-        self._events = self._events * kept + events
-        self._held_up = self._held_up * kept + held_up
+        """Records events of a stream.
+
+        Args:
+            events: Number of events that arrived together.
+            now: Time, s (monotonic).
+            held_up: Whether a packet loss stalled them.
+        """
+        decay = self._decay(now)
+        self._events = self._events * decay + events
+        self._stalled = self._stalled * decay + held_up
         self._at = now
 
     def stall_probability(self, events, now):
-        """Returns how likely an answer of that many events is held up."""
-        kept = self._kept(now)
-        share = self._held_up * kept / (self._events * kept + PRIOR_EVENTS)
+        """Returns the probability that a response of so many events stalls."""
+        decay = self._decay(now)
+        share = self._stalled * decay / (self._events * decay + PRIOR_EVENTS)
         return 1.0 - (1.0 - min(1.0, share))**events
 
 
 class StreamMonitor:
-    """The rhythm of one stream; tells its replica's ``Target`` what it shows.
+    """Measures the pauses of one stream for the view of its replica.
 
     Attributes:
-        longest_s: Longest pause between its events, s.
+        longest_pause_s: Longest pause between its events, s.
     """
 
     def __init__(self, target):
@@ -64,9 +72,9 @@
         self._after_silence = False
 
     def record_events(self, events, now):
-        """Notes that ``events`` came together at ``now``, s (monotonic)."""
+        """Records that ``events`` arrived at once at ``now``, s (monotonic)."""
         if self._last is None:
-            # The first follows the reading of the prompt.
+            # The time until the first event is that of the prefill.
             self._last = now
             return
         gap = now - self._last
@@ -80,6 +88,6 @@
         self._last = now
 
     def record_pause(self):
-        """Notes that reading stops: the silence to come is the caller's."""
+        """Records a pause in reading: the caller causes the next silence."""
         self._last = None
         self._after_silence = False
--- a/gorsefall/policy/traffic_share.py
+++ b/gorsefall/policy/traffic_share.py
@@ -1,24 +1,24 @@
-"""Which part of the traffic an entry carries that hears no other entry.
+"""Estimates the traffic share of an entry that receives no status of others.
 
-Some allowances hold for all entries together, and nobody tells such an entry
-how many there are. It knows how many requests it has under way, and replicas
-may say how many they have.
+Some limits hold for all entries together, and such an entry does not know how
+many there are. It knows its own requests in flight, and replicas may report how
+many they have in total.
 """
 
 PRIOR_REQUESTS = 100.0
-"""Requests of nobody that are counted beside those seen, so that who has seen
-little takes its part for small: on the smallest of our load sheets as many are
-seen in 2 s. With a first guess of 1/12 instead, 80 entries took four times what
-they carry in their first 6 s."""
+"""Requests of other entries that are added to the observed ones, so that an
+entry with few samples estimates a small share. The site with the lowest load
+has as many samples in 2 s. With an initial share of 1/12 instead, 80 entries
+would use four times their traffic in their first 6 s."""
 
 MAX_COUNTED_REQUESTS = 20000.0
-"""Requests seen after which old and new are halved, so that the part follows
-entries that come and go; on the same sheet that is after six minutes, with 80
-entries after one."""
+"""Number of observed requests after which all counts are halved, so that the
+share follows entries that come and go: six minutes at the same site, one minute
+with 80 entries."""
 
 
 class TrafficShare:
-    """The part of one entry."""
+    """The estimated share of one entry."""
 
     def __init__(self):
         self._own = 0.0
@@ -26,23 +26,23 @@
 
     @property
     def value(self):
-        """The part, 0.0 to 1.0."""
+        """The share, 0.0 to 1.0."""
         return min(1.0, self._own / (self._all + PRIOR_REQUESTS))
 
     def record_sample(self, own, there, replicas):
-        """Notes what is under way at a service as a replica answers.
+        """Records the requests in flight at a service when a replica responds.
 
-        The answered request tells nothing, as it is there in any case: an
-        entry on quiet replicas would take itself for the only one. Nor do
-        own requests at just that replica: entries prefer those of their
-        zone, so that with three zones each would count itself threefold. The
-        replica stands for the others, as all are used alike.
+        The answered request does not count, since it is there in any case: with
+        idle replicas an entry would estimate a share of 1. The own requests at
+        this replica alone are no measure either: entries prefer replicas of
+        their zone, and with three zones the share would be three times too
+        large. The replica represents all others, as all have a similar load.
 
         Args:
-            own: Requests of this entry at the service, the answered one
-                included.
+            own: Requests of this entry at the service, including the answered
+                one.
             there: Requests of all entries at the replica.
-            replicas: Replicas of the service.
+            replicas: Number of replicas of the service.
         """
         self._all += max(0, there - 1) * replicas
         self._own += max(0, own - 1)
