--- a/tests/test_admission_fuzz.py
+++ b/tests/test_admission_fuzz.py
@@ -1,10 +1,10 @@
 """Stateful fuzzing of admission against a simple oracle.
 
-Symptom guarded against: a higher tier shed or left waiting for a lower
-one, a class starved, a request lost, a limit leaked. Sequence: any
-interleaving of arrivals, finishes, withdrawals, clock steps and changes of
-what other entries run. Cause it would have: a queue rule that depends on
-arrival order, or bookkeeping missed on one of the ways out.
+Guards against a higher tier that is shed or waits for a lower one, a starved
+class, a lost request and a leaked limit, under any interleaving of arrivals,
+completions, withdrawals, time steps and changes of the load of other entries.
+Possible causes are a queue rule that depends on the order of arrival, and
+bookkeeping that is missed on one of the exit paths.
 """
 
 from hypothesis import settings
@@ -20,7 +20,7 @@
 
 
 class AdmissionMachine(stateful.RuleBasedStateMachine):
-    """Admission against an oracle that knows every ticket's fate."""
+    """Admission against an oracle that tracks every ticket."""
 
     def __init__(self):
         super().__init__()
@@ -50,8 +50,8 @@
         try:
             verdict, shed = self.adm.arrive(ticket, self.now)
         except errors.ShedError:
-            # Refused for itself (deadline), or for a queue full of requests
-            # that are all as urgent: never while a lower tier keeps a place.
+            # Refused because of its deadline, or because the queue is full of
+            # requests at least as urgent: never while a lower tier is queued.
             if patience == float('inf'):
                 assert len(before) >= QUEUE
                 assert all(w.tier <= tier for w in before), before
@@ -94,12 +94,12 @@
         silent = {rid: self.live[rid].arrived for rid in self.adm.running}
         oldest = min((t.arrived for t in self.live.values() if not t.promoted),
                      default=self.now)
-        held = sum(t.promoted for t in self.adm.running.values())
-        room = max(1, int(self.adm.fair_share() * admission.PROMOTED_SHARE))
+        promoted = sum(t.promoted for t in self.adm.running.values())
+        limit = max(1, int(self.adm.fair_share() * admission.PROMOTED_SHARE))
         start, raised = self.adm.promote(self.now, silent)
-        assert held + len(start) + len(raised) <= max(room, held)
-        if held < room and self.now - oldest >= admission.STARVE_S:
-            # Whatever its tier, the longest waiting gets the place.
+        assert promoted + len(start) + len(raised) <= max(limit, promoted)
+        if promoted < limit and self.now - oldest >= admission.STARVE_S:
+            # The ticket that has waited longest gets the slot, at any tier.
             assert oldest in {t.arrived for t in start + raised}
         for ticket in start + raised:
             assert ticket.priority == admission.TOP_PRIORITY
@@ -114,9 +114,9 @@
 
     @stateful.invariant()
     def nothing_lost(self):
-        known = set(self.adm.running) | {t.rid for t in self.adm.waiting()}
-        assert known == set(self.live), (known, set(self.live))
-        assert not known & self.ended
+        tracked = set(self.adm.running) | {t.rid for t in self.adm.waiting()}
+        assert tracked == set(self.live), (tracked, set(self.live))
+        assert not tracked & self.ended
 
     @stateful.invariant()
     def limits_balance(self):
@@ -127,8 +127,8 @@
         waiting = [t for t in self.adm.waiting() if t.tier == 1]
         if not waiting or self.adm.limiter.shares.entries > 1:
             return
-        urgent = sum(1 for t in self.adm.running.values() if t.priority == 1)
-        assert urgent >= CAPACITY - 3, 'waits while lower tiers run'
+        top = sum(1 for t in self.adm.running.values() if t.priority == 1)
+        assert top >= CAPACITY - 3, 'waits while lower tiers run'
 
 
 TestAdmission = AdmissionMachine.TestCase
@@ -139,10 +139,10 @@
 
 
 def test_low_tier_is_served_within_a_bound_under_sustained_top_load():
-    """Symptom: a low class's served count stands still during a long burst.
+    """A low class is never served during a long burst.
 
-    Sequence: tier 1 arrives faster than the pool serves, for ever. Cause it
-    would have: serving by tier alone.
+    Requests of tier 1 arrive faster than the pool can serve them, and requests
+    are served by tier alone.
     """
     adm = admission.TierAdmission(2, 1000)
     adm.arrive(admission.Ticket('low', 5, 0.0), 0.0)
--- a/tests/test_announced.py
+++ b/tests/test_announced.py
@@ -1,4 +1,4 @@
-"""Limits that replicas announce: kept by all together, and left again."""
+"""Announced rate limits: kept by all entries together, and lifted again."""
 
 import random
 import types
@@ -13,21 +13,22 @@
 
 WINDOW_S = 4.0
 FACTOR, SPARE = 1.5, 5
-"""What a replica bears beside its limit, in a window."""
+"""Factor and number of requests in a window that a replica tolerates beyond its
+limit."""
 
 STEP_S = 0.05
-HEARD_S = 2.4
-"""Time until entries hear that another has started or gone, s."""
+DETECTION_S = 2.4
+"""Time until entries detect that another one has started or gone, s."""
 
 
-def _most(times):
+def _max_in_window(times):
     return max(
         (sum(t <= other < t + WINDOW_S for other in times) for t in times),
         default=0)
 
 
 class _Entry:
-    """An entry that sends to the one replica whenever it may."""
+    """An entry that sends to the only replica whenever it may."""
 
     def __init__(self, name, now):
         self.name = name
@@ -35,12 +36,12 @@
         self.gone_at = float('inf')
         self.limit = announced_limits.AnnouncedLimit()
 
-    def believed(self, now):
-        """Whether the others believe it there."""
-        return self.since + HEARD_S <= now < self.gone_at + HEARD_S
+    def is_observed(self, now):
+        """Returns whether the other entries observe it as live."""
+        return self.since + DETECTION_S <= now < self.gone_at + DETECTION_S
 
     def act(self, found, per_s, now):
-        """Returns how many requests it sends now."""
+        """Sends as many requests as it may; returns their number."""
         self.limit.update(per_s, now)
         self.limit.share = 1 / len(found) if self in found else 0.0
         sent = 0
@@ -53,7 +54,7 @@
 @pytest.mark.parametrize('count', [1, 6, 87, 195])
 @pytest.mark.parametrize('per_s', [0.3, 1.0, 1.9, 12.0, 150.0])
 def test_entries_together_keep_a_limit_as_they_come_and_go(count, per_s):
-    """A replica in need that each entry sends its own part of a request."""
+    """A replica is overloaded because each entry sends it one request."""
     rng = random.Random(count)
     entries = [_Entry(f'e{i}', -10.0) for i in range(count)]
     sent = []
@@ -63,7 +64,7 @@
             gone = rng.choice([e for e in entries if e.gone_at > now])
             gone.gone_at = now
             entries.append(_Entry(f'n{step}', now))
-        known = [e for e in entries if e.believed(now)]
+        known = [e for e in entries if e.is_observed(now)]
         shared = announced_limits.senders('r', known, per_s)
         for entry in entries:
             if entry.gone_at <= now:
@@ -72,13 +73,13 @@
             if entry not in known:
                 found = announced_limits.senders('r', [*known, entry], per_s)
             sent += [now] * entry.act(found, per_s, now)
-    assert _most(sent) <= FACTOR * WINDOW_S * per_s + SPARE
+    assert _max_in_window(sent) <= FACTOR * WINDOW_S * per_s + SPARE
     if per_s >= 1.0:
         assert len(sent) >= 30.0 * per_s / 3
 
 
 def test_a_limit_that_changes_binds_at_once():
-    """A replica flooded as its limit falls, by what was saved under the old."""
+    """A burst accrued under an old limit floods a replica that lowers it."""
     limit = announced_limits.AnnouncedLimit(share=1.0)
     limit.update(100.0, 0.0)
     assert limit.allows(10.0)
@@ -92,30 +93,30 @@
     assert sent <= FACTOR * WINDOW_S + SPARE
 
 
-def test_a_limit_of_nothing_is_left_again():
-    """A replica that is sent nothing for good after it named a limit of 0."""
+def test_a_limit_of_zero_is_lifted_again():
+    """A replica gets no request ever again after it announced a limit of 0."""
     limit = announced_limits.AnnouncedLimit(share=1.0)
     limit.update(0.0, 0.0)
     assert not limit.allows(1.0)
     assert limit.allows(2.0 / announced_limits.MIN_PER_S)
 
 
-_SAID = st.lists(st.tuples(st.sampled_from([None, 0.5, 2.0]),
-                           st.integers(0, 50)),
-                 min_size=1,
-                 max_size=12,
-                 unique_by=lambda said: said[1])
+_ANNOUNCEMENTS = st.lists(st.tuples(st.sampled_from([None, 0.5, 2.0]),
+                                    st.integers(0, 50)),
+                          min_size=1,
+                          max_size=12,
+                          unique_by=lambda one: one[1])
 
 
-@given(_SAID, st.randoms(use_true_random=False))
-def test_the_last_answer_holds_however_it_is_told(said, rng):
-    """A limit that stays, or is dropped, by an answer that was overtaken."""
-    told = said + [s for s in said if rng.random() < 0.5]
-    rng.shuffle(told)
+@given(_ANNOUNCEMENTS, st.randoms(use_true_random=False))
+def test_the_last_announcement_holds_in_any_order(announced, rng):
+    """A stale announcement sets or lifts a limit."""
+    received = announced + [a for a in announced if rng.random() < 0.5]
+    rng.shuffle(received)
     limit = announced_limits.AnnouncedLimit()
-    for per_s, at in told:
+    for per_s, at in received:
         limit.update(per_s, float(at))
-    assert limit.per_s == max(said, key=lambda s: s[1])[0]
+    assert limit.per_s == max(announced, key=lambda a: a[1])[0]
 
 
 class _Loop:
@@ -137,35 +138,35 @@
     return own, replica, loop
 
 
-def _tell(source, target, now):
+def _send_status(source, target, now):
     target.heard(membership.Status('a', 1, 1, limit_reports=source.told(now)))
 
 
-def test_others_are_told_of_a_limit_and_of_its_end():
-    """Entries that flood a replica as only one of them had its answer."""
+def test_a_limit_and_its_end_are_reported_to_other_entries():
+    """Entries flood a replica because only one of them received its limit."""
     one, replica, own_loop = _entry('a')
     other, same, loop = _entry('b')
     one.answered(replica, 1.5)
-    _tell(one, other, 100.0)
+    _send_status(one, other, 100.0)
     assert same.limit.per_s == 1.5
     own_loop.now = loop.now = 101.0
     one.answered(replica, None)
-    _tell(one, other, 101.0)
+    _send_status(one, other, 101.0)
     assert same.limit.per_s is None
 
 
-def test_a_start_of_a_replica_has_no_limit_of_the_one_before():
-    """A replica left alone after a restart for what it said before."""
+def test_a_limit_does_not_outlive_its_incarnation():
+    """A restarted replica gets no requests because of its earlier limit."""
     one, replica, _ = _entry('a')
     other, same, _ = _entry('b')
     one.answered(replica, 1.5)
     same.record.born = 8
-    _tell(one, other, 100.0)
+    _send_status(one, other, 100.0)
     assert same.limit.per_s is None
 
 
-def test_the_most_urgent_has_the_first_claim():
-    """Urgent requests that find what a limit leaves taken by others."""
+def test_the_most_urgent_requests_have_precedence():
+    """Less urgent requests use up a limit before urgent ones arrive."""
     limit = announced_limits.AnnouncedLimit(share=1.0)
     limit.update(1.0, 0.0)
     limit.allows(0.0)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,9 +1,9 @@
 """Whether a request may be sent again, against a plain recount.
 
-Symptom: a call that changes something runs twice, or its caller is told that
-it did not run while it did. Sequence: it goes to one replica, the answer is
-lost, and it goes to another; or an earlier send is forgotten when a later one
-is refused. Cause: doubt is kept for the last send alone.
+Guards against a call with side effects that runs twice, or whose caller gets
+"not run" although it ran. That happens if the response of one replica is lost
+and the call goes to another one, or if an earlier attempt is forgotten when a
+later one is refused, because only the last attempt is kept in doubt.
 """
 
 import enum
@@ -19,81 +19,84 @@
 
 
 class End(enum.Enum):
-    """How one send ended, as the oracle sees it."""
+    """The true end of one attempt."""
     LOST = 'lost'
     REFUSED = 'refused'
     UNREACHED = 'unreached'
     WITHDRAWN = 'withdrawn'
 
 
-_NOTES = {
+_RECORDERS = {
     End.REFUSED: attempts.Attempts.record_refusal,
     End.UNREACHED: attempts.Attempts.record_unreached,
     End.WITHDRAWN: attempts.Attempts.record_withdrawal,
 }
 
-# Few names, so that one replica is met again, as the copy of a run is.
-_SENDS = st.lists(st.tuples(st.sampled_from('abc'), st.sampled_from(list(End))))
+# Few names, so that a replica occurs again, as with the KV backup of a run.
+_ATTEMPTS = st.lists(
+    st.tuples(st.sampled_from('abc'), st.sampled_from(list(End))))
 _TERMS = st.builds(attempts.RetryTerms,
                    repeatable=st.booleans(),
                    max_attempts=st.integers(1, 4),
                    refusals_uncounted=st.booleans())
 
 
-def _play(sends):
+def _record(sends):
     made = attempts.Attempts()
     for name, end in sends:
         made.record_sent(name)
-        if end in _NOTES:
-            _NOTES[end](made)
+        if end in _RECORDERS:
+            _RECORDERS[end](made)
     return made
 
 
-@hypothesis.given(_SENDS, _TERMS)
-def test_like_the_recount(sends, terms):
-    made = _play(sends)
+@hypothesis.given(_ATTEMPTS, _TERMS)
+def test_matches_a_recount(sends, terms):
+    made = _record(sends)
     lost = [n for n, e in sends if e is End.LOST]
     counted = [
         e for _, e in sends if e is not End.UNREACHED and
         not (e is End.REFUSED and terms.refusals_uncounted)
     ]
-    room = len(counted) < terms.max_attempts
+    allowed = len(counted) < terms.max_attempts
     assert sorted(made.in_doubt) == sorted(lost)
     assert made.tried == {n for n, _ in sends}
-    assert made.may_run_concurrently(terms) == (room and terms.repeatable)
-    assert made.may_retry(terms) == (room and (terms.repeatable or not lost))
+    assert made.may_run_concurrently(terms) == (allowed and terms.repeatable)
+    assert made.may_retry(terms) == (allowed and (terms.repeatable or not lost))
 
 
-@hypothesis.given(_SENDS, _TERMS)
-def test_nothing_is_called_not_run_in_doubt(sends, terms):
-    made = _play(sends)
+@hypothesis.given(_ATTEMPTS, _TERMS)
+def test_no_request_in_doubt_is_reported_as_not_run(sends, terms):
+    made = _record(sends)
     lost = any(e is End.LOST for _, e in sends)
     for exc in (errors.ReplicaRefusedError('no'), errors.DrainingError('no'),
                 errors.BackendFailedError('no')):
-        said = made.reportable_error(exc, 'why', terms)
+        reported = made.reportable_error(exc, 'why', terms)
         if not lost:
-            assert said is exc
+            assert reported is exc
         elif isinstance(exc, errors.NotRunError) or not terms.repeatable:
-            assert isinstance(said, errors.OutcomeUnknownError)
+            assert isinstance(reported, errors.OutcomeUnknownError)
 
 
-def test_a_replica_met_again_stays_in_doubt():
-    """Symptom: "not run" for a stream that had begun. Sequence: its replica
-    breaks it off, a second one goes on and dies, the copy lies at the first,
-    which is not there any more. Cause: the doubt of the first send there was
-    taken back with that of the second."""
-    made = _play([('a', End.LOST), ('b', End.REFUSED), ('a', End.UNREACHED)])
+def test_a_replica_that_is_tried_twice_stays_in_doubt():
+    """A stream that had started is reported as "not run".
+
+    Its replica aborts it, a second one resumes it and crashes, and the KV
+    backup is at the first one, which is gone. The second attempt at the first
+    replica must not remove the doubt about the first attempt.
+    """
+    made = _record([('a', End.LOST), ('b', End.REFUSED), ('a', End.UNREACHED)])
     assert made.in_doubt == ['a']
 
 
 class _Refusing(serving.Serving):
-    """Was sent once; whatever comes then may not be sent any more."""
+    """A request with one attempt, whose next attempt is refused locally."""
 
     def __init__(self, error, *, repeatable):
         super().__init__(logs.get('test'))
         self._error = error
         self._repeatable = repeatable
-        self.told = None
+        self.reported = None
         self.attempts.record_sent('r1')
 
     @property
@@ -104,7 +107,7 @@
         raise self._error
 
     def tell(self, exc):
-        self.told = exc
+        self.reported = exc
         return 'told'
 
     def note_end(self, outcome, exc):
@@ -117,9 +120,10 @@
     errors.ShedError('late'),
     errors.NoReplicaError('none')
 ])
-def test_what_may_have_run_is_never_called_not_run(error, repeatable):
-    """A 503 for a request that ran: its next send was refused by ourselves."""
+def test_a_request_that_may_have_run_is_not_reported_as_not_run(
+        error, repeatable):
+    """A request that ran gets a 503 because its next attempt is refused."""
     request = _Refusing(error, repeatable=repeatable)
     request.again('silent')
     request.go_on()
-    assert isinstance(request.told, errors.OutcomeUnknownError)
+    assert isinstance(request.reported, errors.OutcomeUnknownError)
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -19,11 +19,10 @@
 
 @given(_EVENTS)
 def test_all_entries_together_keep_the_allowance(events):
-    """Retry storm.
+    """A retry storm doubles the load of a slow service.
 
-    Symptom: a service that is slow gets twice its load. Sequence: every
-    entry asks again for what is late. Cause: nobody counts over all entries.
-    The oracle counts arrivals of seven entries in every sliding window.
+    Every entry retries late requests, and no budget covers all entries. The
+    oracle counts the requests of seven entries in every sliding window.
     """
     entries = [
         budget.Budget(ALLOWANCE, traffic_share.TrafficShare()) for _ in range(7)
@@ -44,14 +43,13 @@
         while retries and retries[0] <= since:
             retries.popleft()
         allowed = ALLOWANCE.ratio * len(firsts) + ALLOWANCE.slack
-        # Retries are spaced a window apart from the requests they follow;
-        # what an entry grants on its own requests of a window it may still
-        # use at that window's end.
+        # A retry may come up to a window after its request: a budget from the
+        # requests of a window may still be used at the end of that window.
         assert len(retries) <= allowed
 
 
-def test_room_comes_back_with_time():
-    """An entry that used its budget may retry again a window later."""
+def test_the_budget_is_available_again_after_a_window():
+    """An entry that used up its budget may retry again a window later."""
     one = budget.Budget(ALLOWANCE, traffic_share.TrafficShare())
     while one.acquire(0.0):
         pass
@@ -62,69 +60,68 @@
 ZONES, REPLICAS = 3, 9
 
 
-def _seen(part, entries, answers, rng):
-    """Shows ``part`` what one of ``entries`` sees.
+def _record_samples(share, entries, responses, rng):
+    """Records in ``share`` the samples of one of ``entries``.
 
-    Each sends to the replicas of its zone alone, as far as there are others
-    in it.
+    An entry sends to the replicas of its zone only, if the zone has other
+    entries.
     """
     near = max(1, entries // ZONES)
-    for _ in range(answers):
+    for _ in range(responses):
         there = [rng.choice((0, 0, 1, 2, 5, 9)) for _ in range(REPLICAS)]
         at_mine = there[:REPLICAS // ZONES if near > 1 else REPLICAS]
         own = sum(rng.random() < 1 / (near if near > 1 else entries)
                   for _ in range(sum(at_mine)))
-        part.record_sample(own + 1, rng.choice(at_mine) + 1, REPLICAS)
+        share.record_sample(own + 1, rng.choice(at_mine) + 1, REPLICAS)
 
 
-@pytest.mark.parametrize('answers', [0, 3, 20, 400])
+@pytest.mark.parametrize('responses', [0, 3, 20, 400])
 @pytest.mark.parametrize('entries', [2, 7, 20, 50])
-def test_the_fixed_number_is_kept_by_any_number_of_entries(entries, answers):
-    """Retry storm of a large deployment.
-
-    Symptom: with 80 entries a service that refused nine of ten calls got 477
-    sends beyond the first in 10 s, of 473 allowed, and could have got over
-    1,500. Sequence: its replicas refuse; each entry uses the fixed number that
-    it takes for its own. Cause: the number was divided by 12, however many
-    entries there were; then the guess of an entry that had seen little; then
-    that entries prefer their zone's replicas and took its traffic for all.
+def test_the_fixed_number_is_kept_by_any_number_of_entries(entries, responses):
+    """A retry storm in a large deployment.
+
+    Replicas refuse nine of ten calls, and each entry uses the share of the
+    fixed number that it estimates: with 80 entries 477 retries in 10 s of 473
+    allowed, and over 1,500 possible. Causes: a share of 1/12 for any number of
+    entries, a wrong initial estimate, or an estimate from the traffic of the
+    own zone alone.
     """
     rng = random.Random(entries)
     total = 0
     for _ in range(entries):
-        part = traffic_share.TrafficShare()
-        _seen(part, entries, answers, rng)
-        one = budget.Budget(ALLOWANCE, part)
+        share = traffic_share.TrafficShare()
+        _record_samples(share, entries, responses, rng)
+        one = budget.Budget(ALLOWANCE, share)
         while one.acquire(0.0):
             total += 1
     assert total <= ALLOWANCE.slack
 
 
-def test_a_quiet_entry_does_not_take_itself_for_the_only_one():
-    """Symptom: each of many entries takes all. Sequence: replicas have one
-    request each, so an answer shows the entry its own alone. Cause: that one
-    was counted, though it is there in any case."""
-    part = traffic_share.TrafficShare()
+def test_an_idle_entry_does_not_estimate_a_full_share():
+    """Each of many entries takes the full allowance: the replicas have one
+    request each, so that a response shows an entry only its own request, which
+    must not count."""
+    share = traffic_share.TrafficShare()
     for _ in range(1000):
-        part.record_sample(1, 1, 5)
-    assert part.value == 0.0
+        share.record_sample(1, 1, 5)
+    assert share.value == 0.0
 
 
 @given(
     st.lists(st.tuples(st.integers(0, 9), st.integers(0, 9), st.integers(0, 9)),
              max_size=3000))
-def test_the_part_stays_a_part(loads):
-    """Counts cross each other on the way: own ones may be over all."""
-    part = traffic_share.TrafficShare()
+def test_the_share_is_between_0_and_1(loads):
+    """Delayed counts may show more own requests than requests in total."""
+    share = traffic_share.TrafficShare()
     for load in loads:
-        part.record_sample(*load)
-    assert 0.0 <= part.value <= 1.0
+        share.record_sample(*load)
+    assert 0.0 <= share.value <= 1.0
 
 
-def test_the_part_follows_entries_that_come():
+def test_the_share_follows_new_entries():
     rng = random.Random(1)
-    part = traffic_share.TrafficShare()
-    _seen(part, 6, 3000, rng)
-    assert 0.13 < part.value < 0.2
-    _seen(part, 60, 6000, rng)
-    assert part.value < 0.03
+    share = traffic_share.TrafficShare()
+    _record_samples(share, 6, 3000, rng)
+    assert 0.13 < share.value < 0.2
+    _record_samples(share, 60, 6000, rng)
+    assert share.value < 0.03
--- a/tests/test_fetching.py
+++ b/tests/test_fetching.py
@@ -1,4 +1,4 @@
-"""Prompts that are fetched from where they are kept, not read anew."""
+"""Cached prompts are fetched from another replica instead of prefilled."""
 
 import loads
 import pytest
@@ -14,8 +14,8 @@
                                 tokens_out=50,
                                 queue_limit_ms=400.0)
 FETCH_MS = 0.0035
-"""Time to fetch a token, from the valuation desk's engines: a seventh of the
-time to read one."""
+"""Time to fetch a token at the engines of the valuation desk, ms: a seventh of
+the time to prefill one."""
 
 
 def _targets(count=3):
@@ -30,55 +30,55 @@
     return placement.choose(targets, WANT, service, 0.0, **more)
 
 
-def test_a_prompt_is_fetched_where_its_keeper_is_busy():
-    """Symptom: prompts of 6,300 tokens read anew all over in a burst. Sequence:
-    the engine that keeps one has a queue, the request goes to another, which
-    reads it all. Cause: nothing told that one where the prompt lies."""
-    keeper, *others = targets = _targets()
-    keeper.prompt_cache.record_use(PARTS)
-    keeper.record_sent(30000)
+def test_a_prompt_is_fetched_if_its_replica_is_busy():
+    """Prompts of 6,300 cached tokens are prefilled again everywhere in a burst:
+    the engine that caches one has a queue, and the engine that gets the request
+    does not know where the prompt is cached."""
+    affinity, *others = targets = _targets()
+    affinity.prompt_cache.record_use(PARTS)
+    affinity.record_sent(30000)
     choice = _choose(targets)
     assert choice.target in others
-    assert choice.fetch_source is keeper
+    assert choice.fetch_source is affinity
     assert choice.prefill_tokens == 9000 - 6300
 
 
-def test_nothing_is_fetched_by_the_keeper_itself():
-    keeper, *_ = targets = _targets()
-    keeper.prompt_cache.record_use(PARTS)
+def test_a_replica_does_not_fetch_its_own_prompts():
+    affinity, *_ = targets = _targets()
+    affinity.prompt_cache.record_use(PARTS)
     choice = _choose(targets)
-    assert choice.target is keeper and choice.fetch_source is None
+    assert choice.target is affinity and choice.fetch_source is None
 
 
 @pytest.mark.parametrize('fetch_ms', [0.0, 0.02])
-def test_nothing_is_fetched_where_that_is_no_quicker(fetch_ms):
-    keeper, *_ = targets = _targets()
-    keeper.prompt_cache.record_use(PARTS)
-    keeper.record_sent(60000)
+def test_nothing_is_fetched_if_prefill_is_as_fast(fetch_ms):
+    affinity, *_ = targets = _targets()
+    affinity.prompt_cache.record_use(PARTS)
+    affinity.record_sent(60000)
     assert _choose(targets, fetch_ms).fetch_source is None
 
 
-def test_a_replica_that_leaves_still_lends_its_prompts():
-    """Symptom: a second of late answers each time a replica is taken away.
-    Sequence: all its sessions go on elsewhere and are read anew there."""
+def test_prompts_are_fetched_from_a_draining_replica():
+    """Responses are late for a second whenever a replica is removed: all its
+    sessions continue elsewhere, and their prompts are prefilled again."""
     *targets, leaving = _targets()
     leaving.prompt_cache.record_use(PARTS)
     assert _choose(targets, sources=[leaving]).fetch_source is leaving
 
 
-def test_a_replica_that_failed_lends_nothing():
-    keeper, *_ = targets = _targets()
-    keeper.prompt_cache.record_use(PARTS)
-    keeper.record_failure(0.0)
+def test_nothing_is_fetched_from_a_failed_replica():
+    affinity, *_ = targets = _targets()
+    affinity.prompt_cache.record_use(PARTS)
+    affinity.record_failure(0.0)
     assert _choose(targets).fetch_source is None
 
 
-def test_a_burst_of_long_prompts_with_prompts_fetched():
-    """Pattern: dossiers of 9,000 tokens at 2.3 times their rate beside long
-    answers. Grounds: the valuation desk's load sheet; 6 seeds, 0.89 of the
-    worth earned against 0.855 where nothing is fetched."""
+def test_fetching_improves_a_burst_of_long_prompts():
+    """Dossiers of 9,000 tokens arrive at 2.3 times their rate beside long
+    responses: load of the valuation desk, 6 seeds, 0.89 of the worth against
+    0.855 without fetching."""
     burst = loads.VALUATION.busier(dossier=2.3)
     fetching = loads.means(burst)
-    reading = loads.means(burst.changed(fetch_ms=0.0))
-    assert fetching.worth > reading.worth + 0.02
-    assert fetching.on_time['dossier'] > reading.on_time['dossier']
+    prefilling = loads.means(burst.changed(fetch_ms=0.0))
+    assert fetching.worth > prefilling.worth + 0.02
+    assert fetching.on_time['dossier'] > prefilling.on_time['dossier']
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The split of limits over entries adds up and is kept while they change."""
+"""Shares of limits add up, and limits are kept while entries change."""
 
 import pytest
 from hypothesis import given
@@ -12,38 +12,37 @@
        limit=st.integers(1, 5000),
        key=st.text(max_size=5))
 def test_concurrency_shares_add_up_to_the_limit(entries, limit, key):
-    parts = [
+    shares = [
         limits.Shares(entries, rank).concurrency(key, limit)
         for rank in range(entries)
     ]
-    assert min(parts) >= 1
-    assert sum(parts) == max(limit, entries)
+    assert min(shares) >= 1
+    assert sum(shares) == max(limit, entries)
 
 
-def test_a_flapping_entry_count_hands_out_no_fresh_bursts():
-    """Symptom: a class far over its rate while the VM list flaps.
+def test_an_alternating_entry_count_allows_no_new_bursts():
+    """A class exceeds its rate while the number of live entries alternates.
 
-    Sequence: the number of live entries alternates at every request.
-    Cause it would have: refilling a bucket whenever its rate changes.
+    That would happen if a bucket were refilled whenever its rate changes.
     """
     lim = limits.Limits(limits.Shares(entries=2))
     scope = [(('c', 'k'), 10.0, 1000)]
-    taken = 0
+    admitted = 0
     for i in range(1000):
         lim.shares.entries = 1 + i % 2
         try:
             lim.admit(scope, i * 0.001, 0.1)
-            taken += 1
+            admitted += 1
         except errors.RateLimitedError:
             pass
-    assert taken <= 10 + 10 * 1.0, taken
+    assert admitted <= 10 + 10 * 1.0, admitted
 
 
-def test_a_refusal_by_one_scope_takes_nothing_from_another():
-    """Symptom: a customer's budget shrinks by requests that were refused.
+def test_a_refusal_by_one_scope_uses_nothing_of_another():
+    """Refused requests use up a limit.
 
-    Sequence: the class has room, the customer has none. Cause it would
-    have: taking from the scopes one after the other.
+    The class is below its limit and the customer is not. That would happen if
+    the scopes were acquired one after the other.
     """
     lim = limits.Limits()
     tight, wide = ('c',), ('c', 'k')
@@ -56,7 +55,7 @@
     assert lim.inflight(wide) == 0 and lim.inflight(tight) == 0
 
 
-def test_the_retry_hint_is_when_the_bucket_has_a_request_again():
+def test_retry_after_is_when_the_bucket_has_a_token_again():
     lim = limits.Limits()
     lim.admit([(('k',), 0.5, 9)], 0.0, 0.1)
     with pytest.raises(errors.RateLimitedError) as info:
@@ -68,7 +67,7 @@
     return [limits.Limits(limits.Shares(n, i)) for i in range(n)]
 
 
-def _tell(fleet, now):
+def _exchange_reports(fleet, now):
     for me in fleet:
         total = {}
         for peer in fleet:
@@ -84,16 +83,16 @@
        limit=st.integers(7, 60),
        moves=st.lists(st.tuples(st.integers(0, 6), st.booleans()),
                       max_size=200))
-def test_told_of_each_other_entries_keep_the_limit(entries, limit, moves):
-    """Symptom: a class beyond its concurrency limit. Sequence: arrivals and
-    ends at any entries, each told of the others. Cause it would have:
-    lending the same spare places to more than one entry.
+def test_entries_with_current_reports_keep_the_limit(entries, limit, moves):
+    """A class exceeds its concurrency limit, with arrivals and ends at any
+    entries and current reports. That would happen if two entries borrowed the
+    same unused slots.
     """
     fleet = _fleet(entries)
     scope = [(('c', 'k'), 1e9, limit)]
     for i, arrive in moves:
         lim = fleet[i % entries]
-        _tell(fleet, 0.0)
+        _exchange_reports(fleet, 0.0)
         if not arrive and lim.inflight(('c', 'k')):
             lim.release(scope)
         elif arrive:
@@ -101,22 +100,22 @@
                 lim.admit(scope, 0.0, 0.1)
             except errors.RateLimitedError:
                 pass
-        # An entry may always take its own part back from a borrower.
-        lent = max(
+        # An entry may always use its own share, even if another borrowed it.
+        borrowed = max(
             0,
             max(f.inflight(('c', 'k')) for f in fleet) - limit // entries)
-        assert sum(f.inflight(('c', 'k')) for f in fleet) <= limit + lent
+        assert sum(f.inflight(('c', 'k')) for f in fleet) <= limit + borrowed
 
 
-def test_demand_at_one_entry_may_use_what_the_others_leave():
-    """Symptom: a customer on one kept connection is refused at a seventh of
-    its limit. Sequence: all its requests reach one of seven entries. Cause:
-    limits split evenly, whatever the demand.
+def test_one_entry_may_use_what_the_others_leave_unused():
+    """A customer with a single persistent connection is refused at a seventh of
+    its limit: all its requests reach one of seven entries, and the limit is
+    divided evenly whatever the demand.
     """
     fleet = _fleet(7)
     admitted = 0
     for i in range(200):
-        _tell(fleet, i * 0.001)
+        _exchange_reports(fleet, i * 0.001)
         try:
             fleet[0].admit([(('c', 'k'), 1e9, 35)], i * 0.001, 0.1)
             admitted += 1
@@ -125,9 +124,9 @@
     assert admitted >= 28, admitted
 
 
-def test_a_silent_peer_counts_as_using_its_whole_part():
+def test_a_silent_peer_counts_as_using_its_whole_share():
     fleet = _fleet(2)
-    _tell(fleet, 0.0)
+    _exchange_reports(fleet, 0.0)
     fleet[0].silent_peers = 1
     admitted = 0
     for _ in range(20):
--- a/tests/test_many_entries.py
+++ b/tests/test_many_entries.py
@@ -1,4 +1,4 @@
-"""Placement by many entries, each of which hears the others late."""
+"""Placement by many entries that receive each other's reports late."""
 
 import collections
 import random
@@ -20,21 +20,20 @@
                                                  exchange_ms=2400.0)
 """Six times the authority's load at 40 small engines."""
 
-IN_TIME = 0.95
-"""Share of long answers that the users want on time."""
+MIN_ON_TIME_SHARE = 0.95
+"""Required share of long responses that are on time."""
 
 
-def test_long_answers_find_slots_though_entries_hear_late():
-    """Pattern: the usual load of a fleet; chats wait for slots beside idle
-    engines."""
+def test_long_responses_find_slots_despite_late_reports():
+    """At the usual load of a fleet, chats wait beside idle engines."""
     found = play.play(FLEET, policy=policies.placed, seed=0)
-    assert found.on_time['chat'] > IN_TIME
-    assert found.on_time['digest'] > IN_TIME
+    assert found.on_time['chat'] > MIN_ON_TIME_SHARE
+    assert found.on_time['digest'] > MIN_ON_TIME_SHARE
 
 
-def test_a_burst_of_long_answers_is_spread(monkeypatch):
-    """Pattern: chats come at 2.5 times their rate; all entries see the same
-    engine idle, and one stands full beside ten empty ones."""
+def test_a_burst_of_long_responses_is_spread(monkeypatch):
+    """Chats arrive at 2.5 times their rate, all entries see the same engine
+    idle, and it is full beside ten idle ones."""
     burst = FLEET.busier(chat=2.5)
     spread = play.play(burst, policy=policies.placed, seed=0)
     monkeypatch.setattr(unreported, 'MAX_SIMULATED', 0)
@@ -42,7 +41,7 @@
     assert spread.on_time['chat'] > herded.on_time['chat']
 
 
-def _writing(count, each):
+def _engines(count, each):
     targets = [
         knowledge.ReplicaView(f'r{i}', 'z', slots=32, engine=True)
         for i in range(count)
@@ -57,13 +56,13 @@
 
 def _picked(targets, service, times=400):
     rng = random.Random(1)
-    kept = partition.select_engines(targets, len(targets) // 2)
+    names = partition.select_engines(targets, len(targets) // 2)
     picked = collections.Counter()
     for _ in range(times):
         picked[placement.choose(targets, WANT, service, 0.0,
                                 rng).target.name] += 1
-    assert set(picked) <= kept
-    return [picked[name] for name in kept]
+    assert set(picked) <= names
+    return [picked[name] for name in names]
 
 
 def _service(per_s, age_s):
@@ -74,27 +73,27 @@
     return service
 
 
-def test_what_is_told_late_spreads_requests():
-    """Symptom: one engine stands full; cause: all entries saw it idle."""
-    targets = _writing(20, lambda i: 10 + i)
+def test_late_reports_spread_requests():
+    """One engine is full because all entries saw it idle."""
+    targets = _engines(20, lambda i: 10 + i)
     counts = _picked(targets, _service(per_s=50.0, age_s=1.2))
     assert max(counts) < 3 * sum(counts) / len(counts)
 
 
-def test_what_is_told_at_once_is_believed():
-    targets = _writing(20, lambda i: 10 + i)
+def test_current_reports_are_used_as_they_are():
+    targets = _engines(20, lambda i: 10 + i)
     counts = _picked(targets, _service(per_s=50.0, age_s=0.0))
     assert sum(1 for c in counts if c) == 1
 
 
-def test_slots_are_kept_for_requests_that_are_unseen():
-    """Requests that wait for a slot though most engines have some."""
-    targets = _writing(20, lambda i: 4)
-    kept = partition.DecodePartition().decode_engines(targets,
-                                                      writing=80,
-                                                      now=0.0,
-                                                      unseen=40.0)
-    assert len(kept) * 32 >= 80 + 40
+def test_the_partition_has_slots_for_unreported_requests():
+    """Requests wait for a slot although most engines have some available."""
+    targets = _engines(20, lambda i: 4)
+    names = partition.DecodePartition().decode_engines(targets,
+                                                       requests=80,
+                                                       now=0.0,
+                                                       unreported=40.0)
+    assert len(names) * 32 >= 80 + 40
     assert len(partition.DecodePartition().decode_engines(targets,
-                                                          writing=80,
-                                                          now=0.0)) < len(kept)
+                                                          requests=80,
+                                                          now=0.0)) < len(names)
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -1,4 +1,4 @@
-"""Speeds learned from answers, whatever the data sheet says."""
+"""Speeds of replicas, estimated from their responses."""
 
 import random
 
@@ -10,8 +10,8 @@
 
 
 @pytest.mark.parametrize('ms_per_token', [0.004, 0.0176, 0.0235, 0.2])
-def test_the_reading_speed_is_found_through_waits(ms_per_token):
-    """Half of the answers waited behind work that nobody told of."""
+def test_the_prefill_speed_is_estimated_despite_waits(ms_per_token):
+    """Half of the responses waited behind work that was not reported."""
     rng = random.Random(1)
     known = pace.ServiceSpeed()
     for _ in range(200):
@@ -21,8 +21,8 @@
     assert known.prefill_ms_per_token == pytest.approx(ms_per_token, rel=0.25)
 
 
-def test_short_prompts_tell_nothing():
-    """The way there and back, 3 ms, is no reading of 20 tokens."""
+def test_short_prompts_are_no_samples():
+    """A round trip of 3 ms counts as the prefill of 20 tokens."""
     known = pace.ServiceSpeed()
     for _ in range(100):
         known.record_start(3.0, 20, 1.0)
@@ -42,27 +42,27 @@
     return targets
 
 
-def test_a_slow_replica_is_told_from_the_others():
-    """Two usual long answers show an engine that turned five times slower."""
+def test_a_slow_replica_is_detected():
+    """Two long responses reveal an engine that became five times slower."""
     targets = _targets([20, 20, 100, 0])
     usual = pace.usual_pause_ms(targets)
     assert pace.slowness(targets[0], usual) == pytest.approx(1.0, abs=0.2)
     assert pace.slowness(targets[2], usual) == pytest.approx(5.0, rel=0.2)
-    # Nothing is known of the last one: nobody was sent there.
+    # The last one has no samples.
     assert pace.slowness(targets[3], usual) == 1.0
 
 
-def test_one_replica_alone_is_the_usual():
+def test_a_single_replica_is_never_slow():
     targets = _targets([100])
     assert pace.slowness(targets[0], pace.usual_pause_ms(targets)) == 1.0
 
 
-def test_prompts_leave_a_replica_that_turned_slow():
-    """Pattern: one of five engines takes five times as long for everything.
+def test_prompts_leave_a_replica_that_became_slow():
+    """One of five engines becomes five times slower, and the responses of its
+    sessions are late because they keep their affinity replica.
 
-    Symptom: its sessions' answers come late for as long. Cause: their home was
-    kept whatever it took. Grounds: at 0.0235 ms a token 9,000 tokens take
-    0.2 s, five times as long is over any target of the load sheets.
+    At 0.0235 ms per token the prefill of 9,000 tokens takes 0.2 s; five times
+    that exceeds every latency target.
     """
     targets = _targets([20, 20, 20, 20, 100])
     service = placement.ServiceState()
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -1,17 +1,15 @@
-"""When a silent attempt is given up."""
+"""When a silent attempt is abandoned."""
 
 from gorsefall.policy import attempt_timeouts
 
 
 def test_overload_makes_attempts_wait_longer():
-    """More urgent requests starve in an overload.
+    """More urgent requests starve under overload.
 
-    Symptom: a third of a class gets nothing while less urgent requests, which
-    may not be repeated and so keep their places, begin. Sequence: replicas
-    leave, first events take seconds, each attempt is given up after 1.2 s and
-    joins the end of another queue. Cause: a wait that knew nothing of how
-    long answers take now.
-    Figures: first events of 50 to 100 ms when calm, 1.5 s in that load.
+    Replicas leave, first events take seconds instead of 50 to 100 ms, and each
+    attempt is abandoned after 1.2 s and joins the end of another queue. Less
+    urgent requests, which are not repeatable and so keep their slots, start
+    first. The timeout has to follow the current response times.
     """
     one = attempt_timeouts.StartLatency()
     for _ in range(50):
@@ -26,8 +24,8 @@
     assert one.timeout_s(1.2) == 1.2
 
 
-def test_one_hanging_replica_does_not_make_all_wait():
-    """One in seven attempts hangs: the others' answers keep the wait short."""
+def test_one_hanging_replica_does_not_lengthen_the_timeout():
+    """One in seven attempts hangs; the others keep the timeout short."""
     one = attempt_timeouts.StartLatency()
     for i in range(100):
         one.record(1.2 if i % 7 == 0 else 0.07)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -12,16 +12,14 @@
 from gorsefall.policy import partition
 
 
-def test_long_answers_stay_on_time_beside_a_burst_of_long_prompts():
-    """Pattern: a bank of flights lands, long digests come at 2.3 times their
-    rate while travellers chat.
-
-    Symptom: chats come late though their first event is quick. Sequence: a
-    prompt of 10,000 tokens is read in five steps of 40 ms beside a stream
-    whose events take six steps each. Cause: both on one replica.
-    Figures: the authority's load sheet; long answers on time in 0.95 of cases
-    against 0.35 by least load and 0.37 by lot (6 seeds), digests in 0.87
-    against 0.43 and 0.43.
+def test_long_responses_are_on_time_beside_a_burst_of_long_prompts():
+    """Chats are late although their first event is fast.
+
+    A bank of flights lands, and long digests arrive at 2.3 times their rate. A
+    prompt of 10,000 tokens is prefilled in five steps of 40 ms beside a stream
+    at the same replica whose events take six steps each. Load of the authority,
+    6 seeds: chats on time in 0.95 of cases against 0.35 by least load and 0.37
+    at random, digests in 0.87 against 0.43 and 0.43.
     """
     placed = loads.means(loads.FLIGHT_BANK).on_time
     least = loads.means(loads.FLIGHT_BANK, policies.least_loaded).on_time
@@ -31,19 +29,17 @@
     assert placed['digest'] > least['digest']
 
 
-def test_shared_prompts_are_not_read_anew_all_over_in_a_burst(monkeypatch):
-    """Pattern: the same burst; its prompts go on from 117 shared parts.
+def test_shared_prompts_are_not_prefilled_everywhere_in_a_burst(monkeypatch):
+    """The more requests wait, the more tokens are prefilled for each.
 
-    Symptom: the more requests wait, the more tokens are read for each.
-    Sequence: a shared part's home is busy, the request goes where it is not
-    cached, reads 6,300 tokens more and makes that replica busy too. Cause:
-    only the request's own wait was weighed, not that of all behind it.
-    Figures: without refusals, 6 seeds, while nobody knew what others sent,
-    chats were on time in 0.59 of cases without the weight, digests in 0.65.
-    Both have to stay 0.2 and 0.1 above that, and the weight has to be worth
-    something beside what entries know of each other, where no prompt can be
-    fetched.
-    """
+    The same burst, with 117 shared parts. The affinity replica of a part is
+    busy, so the request goes to a replica that does not cache it, and the
+    prefill of 6,300 more tokens makes that one busy too. Costs have to include
+    the delay of all requests behind it. Without shedding and without reports
+    between entries, 6 seeds, chats are on time in 0.59 of cases without
+    ``REPEATED_PREFILL_WEIGHT``, digests in 0.65. With it they have to be 0.2
+    and 0.1 above that, and it has to increase the worth with reports between
+    entries as well, where no prompt can be fetched. """
     bank = loads.FLIGHT_BANK.changed(fetch_ms=0.0)
     after = loads.means(bank, policies.unrefused).on_time
     worth = loads.means(bank).worth
@@ -55,8 +51,8 @@
     assert worth > loads.means(bank).worth + 0.05
 
 
-def test_a_calm_load_is_on_time():
-    """Pattern: the usual rates; nearly all of every kind is on time."""
+def test_the_usual_load_is_on_time():
+    """At the usual rates nearly all requests of every kind are on time."""
     on_time = loads.means(loads.AUTHORITY).on_time
     for name in ('chat', 'digest', 'advice'):
         assert on_time[name] > 0.93
@@ -72,8 +68,8 @@
     ]
 
 
-def test_sessions_move_only_when_their_home_leaves():
-    """Prompts read again at every change of the replicas."""
+def test_sessions_move_only_if_their_affinity_replica_leaves():
+    """Prompts are prefilled again at every change of the replicas."""
     targets = _targets(6)
     before = {
         s: placement.affinity_replica(targets, s).name
@@ -85,8 +81,8 @@
             assert placement.affinity_replica(left, session).name == name
 
 
-def test_every_entry_keeps_the_same_replicas_quiet():
-    """Two entries that disagree mix long prompts with long answers again."""
+def test_every_entry_computes_the_same_partition():
+    """Two entries disagree and mix long prompts with long responses."""
     targets = _targets(5)
     shuffled = random.Random(1).sample(targets, 5)
     for count in range(5):
@@ -101,8 +97,8 @@
                             now).target.name
 
 
-def test_a_failing_replica_is_left_and_tried_again():
-    """Black hole: a replica that fails fast looks idle and draws all work."""
+def test_a_failing_replica_is_ejected_and_tried_again():
+    """A replica that fails fast looks idle and attracts all requests."""
     targets = _targets(3)
     want = knowledge.RequestProfile(zone='z')
     targets[0].record_failure(0.0)
@@ -113,8 +109,8 @@
     assert _chosen(targets, want, 1.0) == 'r0'
 
 
-def test_a_replica_that_answers_with_failures_is_avoided():
-    """Grey replica: its health is good and half of its answers are not."""
+def test_a_replica_with_failed_responses_is_avoided():
+    """A replica looks healthy although half of its responses are failures."""
     targets = _targets(3)
     for _ in range(20):
         targets[0].record_response(False)
@@ -133,22 +129,23 @@
 
 
 def _chats_behind(loss):
-    """Returns the chats on time with the quiet engine behind a lossy link."""
-    quiet = partition.select_engines(_named([f'e{i}' for i in range(5)]), 1)
+    """Returns the share of chats on time if the decode partition is behind a
+    lossy link."""
+    names = partition.select_engines(_named([f'e{i}' for i in range(5)]), 1)
     return loads.means(loads.AUTHORITY,
-                       loss=dict.fromkeys(quiet, loss)).on_time['chat']
+                       loss=dict.fromkeys(names, loss)).on_time['chat']
 
 
 @pytest.mark.parametrize('loss, more', [(0.03, 0.12), (0.1, 0.3)])
-def test_chats_leave_a_quiet_engine_behind_a_lossy_link(monkeypatch, loss,
-                                                        more):
-    """Pattern: the usual rates while a zone's links lose packets.
-
-    Symptom: nearly all long answers come late for as long as the links lose,
-    though most engines are reached without loss. Sequence: the engine that is
-    kept for them lies in that zone; each packet lost holds an answer up for
-    0.2 s and more. Cause: where they go was not decided by what comes back.
-    Figures: 6 seeds, on time in 0.71 and 0.72 of cases against 0.49 and 0.30.
+def test_chats_leave_a_decode_engine_behind_a_lossy_link(
+        monkeypatch, loss, more):
+    """Nearly all long responses are late while the links of a zone lose
+    packets.
+
+    Usual rates. The engine of the decode partition is in that zone, and each
+    lost packet stalls a response for at least 0.2 s, although most engines are
+    reachable without loss. Placement has to consider the stalls. 6 seeds: on
+    time in 0.71 and 0.72 of cases against 0.49 and 0.30.
     """
     after = _chats_behind(loss)
     monkeypatch.setattr(costs, 'STALL_MS', 0.0)
@@ -156,22 +153,22 @@
 
 
 def test_prompts_are_not_moved_by_a_lossy_link():
-    """What reads for long bears a pause; moving it costs a prompt anew."""
+    """A long prefill tolerates a stall, and moving it repeats the prefill."""
     want = knowledge.RequestProfile(zone='z', tokens=9000, tokens_out=60)
-    lossy, sound = _named(['e0', 'e1'])
+    lossy, good = _named(['e0', 'e1'])
     for _ in range(20):
         lossy.link.record_events(5, 5.0, held_up=True)
-    cost = costs.PlacementCosts(want, placement.ServiceState(), [lossy, sound],
+    cost = costs.PlacementCosts(want, placement.ServiceState(), [lossy, good],
                                 5.0)
-    at_lossy, at_sound = (
+    at_lossy, at_good = (
         cost.total_ms(p, at_affinity=True) for p in cost.candidates)
-    assert at_lossy == at_sound
+    assert at_lossy == at_good
 
 
-def test_an_answer_of_more_events_is_held_up_more_easily():
-    """Symptom: long answers stay behind a lossy link at a customer whose
-    events hold few tokens. Cause: an answer's events were counted by another
-    customer's data sheet."""
+def test_a_response_of_more_events_is_more_likely_to_stall():
+    """Long responses stay behind a lossy link at a site whose events contain
+    few tokens, because the number of events is computed with the tokens per
+    event of another site."""
     want = knowledge.RequestProfile(zone='z', tokens=600, tokens_out=300)
     weights = []
     for event_tokens in (6, 3):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,8 +1,8 @@
-"""When a process that was told to stop takes requests, cuts them, ends.
+"""When a stopping process accepts requests, ends them, and exits.
 
-Symptom: answers cut, or callers refused that could not know. Sequence: the
-stop signal; the balancer notices only at its next questions; something still
-runs when the platform's patience is over. Cause: one moment for all of it.
+Guards against aborted responses, and against refused callers that could not
+know: after the stop signal the load balancer notices only at its next probes,
+and requests may still run at the time limit. Each step needs its own time.
 """
 
 from gorsefall.policy import shutdown
@@ -14,13 +14,13 @@
     return stop
 
 
-def test_before_the_signal_nothing_ends():
+def test_nothing_ends_before_the_signal():
     stop = shutdown.Shutdown()
     assert stop.accepts_requests(1e9) and not stop.is_overdue(1e9)
     assert not stop.is_finished(1e9, busy=False)
 
 
-def test_requests_are_taken_until_the_balancer_has_noticed():
+def test_requests_are_accepted_until_the_balancer_has_noticed():
     stop = _begun()
     assert stop.accepts_requests(102.9) and not stop.is_finished(102.9,
                                                                  busy=False)
@@ -28,7 +28,7 @@
                                                                  busy=False)
 
 
-def test_what_runs_may_end_until_it_is_late():
+def test_running_requests_may_end_until_the_time_limit():
     stop = _begun()
     assert not stop.is_finished(107.2, busy=True) and not stop.is_overdue(107.2)
     assert stop.is_finished(107.3, busy=True) and stop.is_overdue(107.3)
