--- a/gorsefall/policy/admission.py
+++ b/gorsefall/policy/admission.py
@@ -91,16 +91,16 @@
         """Records an empty queue: the next interval is not a sample."""
         self._last = None
 
-    def expected_interval_s(self, now, otherwise):
+    def expected_interval_s(self, now, default_s):
         """Returns the expected time between starts, s.
 
         Args:
             now: Time, s (monotonic).
-            otherwise: The result while there is no sample, s.
+            default_s: The result while there is no sample, s.
         """
         if self._last is None:
-            return self.interval_s or otherwise
-        return max(self.interval_s or otherwise, now - self._last)
+            return self.interval_s or default_s
+        return max(self.interval_s or default_s, now - self._last)
 
 
 class Admission:
@@ -244,8 +244,8 @@
     def expected_wait_s(self, tier, now):
         """Estimates the wait of a new ticket of ``tier``, s."""
         ahead = 1 + sum(1 for t in self._waiting.values() if t.tier <= tier)
-        guess = self.served_time_s / self.fair_share()
-        return ahead * self._paces[tier].expected_interval_s(now, guess)
+        default_s = self.served_time_s / self.fair_share()
+        return ahead * self._paces[tier].expected_interval_s(now, default_s)
 
     def drain(self, now):
         """See ``Admission.drain``."""
--- a/gorsefall/policy/costs.py
+++ b/gorsefall/policy/costs.py
@@ -116,17 +116,17 @@
         candidates: ``Candidate`` objects of the replicas that may take it.
     """
 
-    def __init__(self, want, service, candidates, now, *, sources=()):
+    def __init__(self, profile, service, candidates, now, *, sources=()):
         """Evaluates every replica once.
 
         Args:
-            want: The ``knowledge.RequestProfile``.
+            profile: The ``knowledge.RequestProfile``.
             service: The ``placement.ServiceState``.
             candidates: The ``knowledge.ReplicaView`` objects that may take it.
             now: Time, s (monotonic).
             sources: Other replicas that prompts may be fetched from.
         """
-        self._want = want
+        self._profile = profile
         self._service = service
         self._now = now
         self._usual_ms = pace.usual_pause_ms(candidates)
@@ -145,25 +145,26 @@
         weight = report_weight(target, self._now)
         ahead = target.prefill_tokens + weight * target.others_prefill_tokens
         busy = target.outstanding + weight * target.others_requests
-        return Candidate(
-            target=target,
-            slowness=slowness,
-            prefill_ms_per_token=prefill_ms,
-            busy=busy,
-            prefill_tokens_ahead=ahead,
-            queue_ms=self._queue_ms(target, busy, ahead * prefill_ms),
-            cached_tokens=target.prompt_cache.cached_tokens(self._want.parts))
-
-    def add_request(self, place):
+        return Candidate(target=target,
+                         slowness=slowness,
+                         prefill_ms_per_token=prefill_ms,
+                         busy=busy,
+                         prefill_tokens_ahead=ahead,
+                         queue_ms=self._queue_ms(target, busy,
+                                                 ahead * prefill_ms),
+                         cached_tokens=target.prompt_cache.cached_tokens(
+                             self._profile.parts))
+
+    def add_request(self, candidate):
         """Returns the ``Candidate`` with one more decode-heavy request.
 
         Its prompt is taken as prefilled, which is a hundredth of its run time.
         """
-        busy = place.busy + 1
+        busy = candidate.busy + 1
         queue_ms = self._queue_ms(
-            place.target, busy,
-            place.prefill_tokens_ahead * place.prefill_ms_per_token)
-        return dataclasses.replace(place, busy=busy, queue_ms=queue_ms)
+            candidate.target, busy,
+            candidate.prefill_tokens_ahead * candidate.prefill_ms_per_token)
+        return dataclasses.replace(candidate, busy=busy, queue_ms=queue_ms)
 
     def _queue_ms(self, target, busy, prefill_ms):
         # Mean time until a slot becomes free while all of them are in use.
@@ -186,85 +187,90 @@
         usual = self._service.speed.prefill_ms_per_token
         fast = 0 < self._service.fetch_ms < MAX_FETCH_TIME_RATIO * usual
         if (not healthy or not fast or
-                self._want.shared_tokens < MIN_FETCH_TOKENS):
+                self._profile.shared_tokens < MIN_FETCH_TOKENS):
             return None
-        return max(healthy,
-                   key=lambda t: t.prompt_cache.cached_tokens(self._want.parts))
+        return max(
+            healthy,
+            key=lambda t: t.prompt_cache.cached_tokens(self._profile.parts))
 
-    def plan_fetch(self, place):
+    def plan_fetch(self, candidate):
         """Returns ``(source, tokens)`` to fetch there; None and 0 for none."""
         source = self._source
-        if source is None or source is place.target:
+        if source is None or source is candidate.target:
             return None, 0
         more = source.prompt_cache.cached_tokens(
-            self._want.parts) - place.cached_tokens
+            self._profile.parts) - candidate.cached_tokens
         return (source, more) if more >= MIN_FETCH_TOKENS else (None, 0)
 
-    def prefill_tokens(self, place):
+    def prefill_tokens(self, candidate):
         """Returns the tokens to be prefilled for the request there."""
-        _, fetched = self.plan_fetch(place)
-        return self._want.tokens - place.cached_tokens - fetched
+        _, fetched = self.plan_fetch(candidate)
+        return self._profile.tokens - candidate.cached_tokens - fetched
 
-    def _fetch_ms(self, place):
-        source, tokens = self.plan_fetch(place)
+    def _fetch_ms(self, candidate):
+        source, tokens = self.plan_fetch(candidate)
         if source is None:
             return 0.0
-        factor = (1 if source.zone == place.target.zone else
+        factor = (1 if source.zone == candidate.target.zone else
                   CROSS_ZONE_FETCH_FACTOR)
         return FETCH_START_MS + tokens * self._service.fetch_ms * factor
 
     # -- costs -----------------------------------------------------------------
 
-    def total_ms(self, place, *, at_affinity=False):
+    def total_ms(self, candidate, *, at_affinity=False):
         """Returns the cost of the request at a replica, ms of wait.
 
         Args:
-            place: The replica's ``Candidate``.
+            candidate: The replica's ``Candidate``.
             at_affinity: Whether it is the affinity replica of the prompt. A
                 part that no replica caches has to be prefilled once, and the
                 affinity replica is the best one for it.
         """
-        target = place.target
-        cost = place.queue_ms
-        cost += 0.0 if target.zone == self._want.zone else CROSS_ZONE_MS
+        target = candidate.target
+        cost = candidate.queue_ms
+        cost += 0.0 if target.zone == self._profile.zone else CROSS_ZONE_MS
         cost += FAILING_REPLICA_MS * max(
             0.0, target.error_share - TOLERATED_ERROR_SHARE)
         if target.engine:
-            cost += self._prompt_ms(place, at_affinity) + self._stall_ms(target)
+            cost += self._prompt_ms(candidate,
+                                    at_affinity) + self._stall_ms(target)
         return cost
 
-    def _prompt_ms(self, place, at_affinity):
-        tokens = self.prefill_tokens(place)
-        fetch_ms = self._fetch_ms(place)
-        repeated = 0 if at_affinity else max(0, tokens - self._want.own_tokens)
-        repeated_ms = repeated * place.prefill_ms_per_token
-        cost = (tokens * place.prefill_ms_per_token + FETCH_WEIGHT * fetch_ms +
-                REPEATED_PREFILL_WEIGHT * repeated_ms)
+    def _prompt_ms(self, candidate, at_affinity):
+        tokens = self.prefill_tokens(candidate)
+        fetch_ms = self._fetch_ms(candidate)
+        repeated = 0 if at_affinity else max(0, tokens -
+                                             self._profile.own_tokens)
+        repeated_ms = repeated * candidate.prefill_ms_per_token
+        cost = (tokens * candidate.prefill_ms_per_token +
+                FETCH_WEIGHT * fetch_ms + REPEATED_PREFILL_WEIGHT * repeated_ms)
         away_ms = fetch_ms + repeated_ms
         if not at_affinity and not fetch_ms:
             # The shared part is prefilled a second time there, so the request
             # may leave its affinity replica only while the pool is not busy.
             away_ms += self._pool_ms
-        if self._exceeds_limit(place, away_ms):
+        if self._exceeds_limit(candidate, away_ms):
             cost += REFUSAL_MS
         return cost
 
-    def _exceeds_limit(self, place, away_ms):
+    def _exceeds_limit(self, candidate, away_ms):
         """Returns whether the request would be refused there.
 
         An idle replica never refuses a request.
         """
-        idle = not place.target.outstanding and not place.target.others_requests
-        return not idle and place.queue_ms + away_ms > self._want.queue_limit_ms
+        idle = (not candidate.target.outstanding and
+                not candidate.target.others_requests)
+        return (not idle and
+                candidate.queue_ms + away_ms > self._profile.queue_limit_ms)
 
     def _stall_ms(self, target):
-        if not self._want.decode_heavy:
+        if not self._profile.decode_heavy:
             return 0.0
-        events = self._want.tokens_out / self._service.event_tokens
+        events = self._profile.tokens_out / self._service.event_tokens
         probability = target.link.stall_probability(events, self._now)
         return STALL_MS * max(0.0, probability - TOLERATED_STALL_PROBABILITY)
 
-    def misplacement_ms(self, place):
+    def misplacement_ms(self, candidate):
         """Returns the cost of a replica of the other partition, ms.
 
         A prefill delays the streams at its engine for as long as it lasts. It
@@ -272,10 +278,10 @@
         then the decode partition has capacity for most prompts.
         """
         gap_ms = self._service.gap_ms
-        if self._want.decode_heavy or not gap_ms:
+        if self._profile.decode_heavy or not gap_ms:
             return MISPLACEMENT_MS
-        tokens = (place.prefill_tokens_ahead + self._want.tokens -
-                  place.cached_tokens)
-        harmless = (tokens * place.prefill_ms_per_token
+        tokens = (candidate.prefill_tokens_ahead + self._profile.tokens -
+                  candidate.cached_tokens)
+        harmless = (tokens * candidate.prefill_ms_per_token
                     < HARMLESS_GAP_SHARE * gap_ms)
         return HARMLESS_MISPLACEMENT_MS if harmless else REFUSAL_MS
--- a/gorsefall/policy/pace.py
+++ b/gorsefall/policy/pace.py
@@ -60,10 +60,10 @@
     """First step, of the logarithm. Early steps are large, so that a wrong
     initial value is soon corrected; later a single value has little effect."""
 
-    def __init__(self, share, guess, last_step=0.05):
+    def __init__(self, share, initial, last_step=0.05):
         self._share = share
         self._last_step = last_step
-        self.value = guess
+        self.value = initial
         self.samples = 0
 
     def record(self, value):
--- a/gorsefall/policy/placement.py
+++ b/gorsefall/policy/placement.py
@@ -77,13 +77,13 @@
     return [t for t in targets if t.outstanding + t.others_requests == fewest]
 
 
-def choose(candidates, want, service, now, rng=random, *, sources=()):
+def choose(candidates, profile, service, now, rng=random, *, sources=()):
     """Returns the best ``Choice`` of ``candidates``, None if there is none.
 
     Args:
         candidates: The ``knowledge.ReplicaView`` objects that may take the
             request.
-        want: The ``knowledge.RequestProfile``.
+        profile: The ``knowledge.RequestProfile``.
         service: The ``ServiceState`` of their service.
         now: Time, s (monotonic).
         rng: Random generator that breaks ties.
@@ -93,63 +93,73 @@
     healthy = health.select_healthy(candidates, now)
     if not healthy:
         return None
-    service.unreported.record_request(want.decode_heavy)
+    service.unreported.record_request(profile.decode_heavy)
     if healthy[0].eject_until > now:
         # All replicas are ejected: the last resort is used whatever its queue.
-        return Choice(healthy[0], want.tokens)
-    decode_names = _decode_engines(candidates, want, service, now)
+        return Choice(healthy[0], profile.tokens)
+    decode_names = _decode_engines(candidates, profile, service, now)
     # The affinity replica is chosen among all, so that a session returns to it
     # as soon as it is healthy again.
     pool = ([
-        t for t in candidates if (t.name in decode_names) == want.decode_heavy
+        t for t in candidates
+        if (t.name in decode_names) == profile.decode_heavy
     ] or candidates)
-    affinity = affinity_replica(pool, want.session) if want.session else None
-    cost = costs.PlacementCosts(want, service, candidates, now, sources=sources)
+    affinity = affinity_replica(pool,
+                                profile.session) if profile.session else None
+    cost = costs.PlacementCosts(profile,
+                                service,
+                                candidates,
+                                now,
+                                sources=sources)
     cost.set_pool({t.name for t in pool})
 
-    def rank(place):
-        total_ms = cost.total_ms(place, at_affinity=place.target is affinity)
-        if decode_names and (place.target.name
-                             in decode_names) != want.decode_heavy:
-            total_ms += cost.misplacement_ms(place)
+    def rank(candidate):
+        total_ms = cost.total_ms(candidate,
+                                 at_affinity=candidate.target is affinity)
+        if decode_names and (candidate.target.name
+                             in decode_names) != profile.decode_heavy:
+            total_ms += cost.misplacement_ms(candidate)
         return total_ms, rng.random()
 
     names = {t.name for t in healthy}
-    places = [p for p in cost.candidates if p.target.name in names]
-    if not want.decode_heavy:
-        return _to_choice(cost, min(places, key=rank))
+    options = [p for p in cost.candidates if p.target.name in names]
+    if not profile.decode_heavy:
+        return _to_choice(cost, min(options, key=rank))
     # The number of requests that other entries sent since their last reports is
     # not known: every number up to the expected one is equally likely.
     limit = int(
         min(service.unreported.decode_heavy(),
             unreported_requests.MAX_SIMULATED))
     before = rng.randint(0, limit) if limit else 0
-    return _to_choice(cost, _best_after(cost, places, rank, before))
+    return _to_choice(cost, _best_after(cost, options, rank, before))
 
 
-def _best_after(cost, places, rank, before):
+def _best_after(cost, options, rank, before):
     """Returns the best candidate once ``before`` more requests were placed."""
-    heap = [(rank(place), i, place) for i, place in enumerate(places)]
+    heap = [
+        (rank(candidate), i, candidate) for i, candidate in enumerate(options)
+    ]
     heapq.heapify(heap)
     for _ in range(before):
-        _, i, place = heap[0]
-        busier = cost.add_request(place)
+        _, i, candidate = heap[0]
+        busier = cost.add_request(candidate)
         heapq.heapreplace(heap, (rank(busier), i, busier))
     return heap[0][2]
 
 
-def _to_choice(cost, place):
-    source, _ = cost.plan_fetch(place)
-    return Choice(place.target, cost.prefill_tokens(place), place.queue_ms,
-                  place.prefill_tokens_ahead, place.slowness, source)
+def _to_choice(cost, candidate):
+    source, _ = cost.plan_fetch(candidate)
+    return Choice(candidate.target, cost.prefill_tokens(candidate),
+                  candidate.queue_ms, candidate.prefill_tokens_ahead,
+                  candidate.slowness, source)
 
 
-def _decode_engines(candidates, want, service, now):
+def _decode_engines(candidates, profile, service, now):
     """Returns the names of the engines in the decode partition."""
-    if not want.tokens:
+    if not profile.tokens:
         return set()
-    if want.decode_heavy and want.gap_ms:
-        service.gap_ms = want.gap_ms
+    if profile.decode_heavy and profile.gap_ms:
+        service.gap_ms = profile.gap_ms
     engines = [t for t in candidates if t.engine]
     requests = sum(t.decode_heavy +
                    costs.report_weight(t, now) * t.others_decode_heavy
--- a/gorsefall/policy/routing.py
+++ b/gorsefall/policy/routing.py
@@ -120,19 +120,19 @@
     def __init__(self, max_age_s):
         self.max_age_s = max_age_s
 
-    def choose(self, replicas, want, now, wall):
+    def choose(self, replicas, profile, now, wall):
         """Returns a replica, or None.
 
         Args:
             replicas: The ``Replica`` objects that may get the request.
-            want: The ``RequestProfile`` of the request.
+            profile: The ``RequestProfile`` of the request.
             now: Time, s (monotonic).
             wall: Time, s (epoch), to age load reports.
         """
         healthy = health.select_healthy(replicas, now)
-        return self.pick(healthy, want, wall) if healthy else None
+        return self.pick(healthy, profile, wall) if healthy else None
 
-    def pick(self, healthy, want, wall):
+    def pick(self, healthy, profile, wall):
         """Returns one of ``healthy``, a non-empty list of replicas."""
         raise NotImplementedError
 
@@ -148,20 +148,20 @@
     events, which are delayed and incomplete.
     """
 
-    def pick(self, healthy, want, wall):
+    def pick(self, healthy, profile, wall):
         """See ``Router.pick``."""
         gaps = [r.gap_s for r in healthy if r.gap_s > 0]
         median = statistics.median(gaps) if gaps else 0.0
-        scores = {r.name: self.score(r, want, wall, median) for r in healthy}
+        scores = {r.name: self.score(r, profile, wall, median) for r in healthy}
         mode, low = min(scores.values())
         nearby = [
             r for r in healthy
             if scores[r.name][0] == mode and scores[r.name][1] <= low +
             AFFINITY_SLACK
         ]
-        return rendezvous.best(want.prompt[:PREFIX_CHARS], nearby)
+        return rendezvous.best(profile.prompt[:PREFIX_CHARS], nearby)
 
-    def score(self, rep, want, wall, median_gap_s):
+    def score(self, rep, profile, wall, median_gap_s):
         """Returns ``(Place, load)`` of ``rep``; lower is better.
 
         The entry's own in-flight count is exact; the requests of other entries
@@ -172,7 +172,7 @@
         load = rep.load(weight)
         mode = StartMode.FREE
         if load >= rep.slots:
-            load = rep.load(weight, want.priority)
+            load = rep.load(weight, profile.priority)
             mode = StartMode.PREEMPTS if load < rep.slots else StartMode.WAITS
         if median_gap_s > 0 and rep.gap_s > SLOW_RATIO * median_gap_s:
             load = (load + 1) * rep.gap_s / median_gap_s
@@ -182,9 +182,9 @@
 class LeastInflightRouter(Router):
     """Baseline: the fewest own requests in flight."""
 
-    def pick(self, healthy, want, wall):
+    def pick(self, healthy, profile, wall):
         """See ``Router.pick``."""
-        del want, wall
+        del profile, wall
         return min(healthy, key=lambda r: r.inflight)
 
 
@@ -195,8 +195,8 @@
         super().__init__(max_age_s)
         self._turn = 0
 
-    def pick(self, healthy, want, wall):
+    def pick(self, healthy, profile, wall):
         """See ``Router.pick``."""
-        del want, wall
+        del profile, wall
         self._turn += 1
         return healthy[self._turn % len(healthy)]
--- a/tests/test_fetching.py
+++ b/tests/test_fetching.py
@@ -8,11 +8,11 @@
 from gorsefall.policy import prompts
 
 PARTS = (prompts.Part('doc', 2500), prompts.Part('session', 3800))
-WANT = knowledge.RequestProfile(zone='z',
-                                parts=PARTS,
-                                tokens=9000,
-                                tokens_out=50,
-                                queue_limit_ms=400.0)
+PROFILE = knowledge.RequestProfile(zone='z',
+                                   parts=PARTS,
+                                   tokens=9000,
+                                   tokens_out=50,
+                                   queue_limit_ms=400.0)
 FETCH_MS = 0.0035
 """Time to fetch a token at the engines of the valuation desk, ms: a seventh of
 the time to prefill one."""
@@ -27,7 +27,7 @@
 
 def _choose(targets, fetch_ms=FETCH_MS, **more):
     service = placement.ServiceState(fetch_ms=fetch_ms)
-    return placement.choose(targets, WANT, service, 0.0, **more)
+    return placement.choose(targets, PROFILE, service, 0.0, **more)
 
 
 def test_a_prompt_is_fetched_if_its_replica_is_busy():
--- a/tests/test_many_entries.py
+++ b/tests/test_many_entries.py
@@ -51,7 +51,7 @@
     return targets
 
 
-WANT = knowledge.RequestProfile(zone='z', tokens=600, tokens_out=300)
+PROFILE = knowledge.RequestProfile(zone='z', tokens=600, tokens_out=300)
 
 
 def _picked(targets, service, times=400):
@@ -59,7 +59,7 @@
     names = partition.select_engines(targets, len(targets) // 2)
     picked = collections.Counter()
     for _ in range(times):
-        picked[placement.choose(targets, WANT, service, 0.0,
+        picked[placement.choose(targets, PROFILE, service, 0.0,
                                 rng).target.name] += 1
     assert set(picked) <= names
     return [picked[name] for name in names]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,12 +8,13 @@
 REPLICAS = ('r1', 'r2', 'r3')
 
 
-def _status(name, boot=1, seq=1, rows=None, **fields):
-    rows = {
-        r: membership.InFlight(n, 10 * n, 0) for r, n in (rows or {}).items()
+def _status(name, started_at_ms=1, seq=1, in_flight=None, **fields):
+    in_flight = {
+        r: membership.InFlight(n, 10 * n, 0)
+        for r, n in (in_flight or {}).items()
     }
-    return membership.Status(name, boot, seq, fields.get('first_attempts', {}),
-                             rows)
+    return membership.Status(name, started_at_ms, seq,
+                             fields.get('first_attempts', {}), in_flight)
 
 
 _MESSAGES = st.lists(st.tuples(
@@ -35,17 +36,17 @@
     members = membership.Members('me')
     last = {}
     now = 0.0
-    for host, boot, seq, rows, wait in messages:
+    for host, started_at_ms, seq, in_flight, wait in messages:
         now += wait
-        status = _status(host, boot, seq, rows)
+        status = _status(host, started_at_ms, seq, in_flight)
         before = last.get(host)
         if before is None:
             new = True
-        elif before[0].started_at_ms == boot:
+        elif before[0].started_at_ms == started_at_ms:
             new = seq > before[0].seq
         else:
             silent = now - before[1] > membership.SILENCE_TIMEOUT_S
-            new = silent or boot > before[0].started_at_ms
+            new = silent or started_at_ms > before[0].started_at_ms
         assert members.record_status(host, status, now) == new
         if new:
             last[host] = (status, now)
@@ -65,7 +66,8 @@
 def test_an_entry_does_not_count_itself():
     """Own work is counted twice: a seed names this VM, or a message returns."""
     members = membership.Members('me')
-    assert not members.record_status('h', _status('me', rows={'r1': 5}), 0.0)
+    assert not members.record_status('h', _status('me', in_flight={'r1': 5}),
+                                     0.0)
     assert members.alone and members.in_flight('r1') == membership.NO_REQUESTS
 
 
@@ -73,12 +75,13 @@
     """Capacity stays unused: a VM is suspended for seconds while its requests
     end at the replicas, and its last status is still counted."""
     members = membership.Members('me')
-    members.record_status('h', _status('a', seq=1, rows={'r1': 5}), 0.0)
+    members.record_status('h', _status('a', seq=1, in_flight={'r1': 5}), 0.0)
     members.expire(5.0)
     assert members.in_flight('r1') == membership.NO_REQUESTS
-    assert not members.record_status('h', _status('a', seq=1, rows={'r1': 5}),
-                                     5.0)
-    assert members.record_status('h', _status('a', seq=2, rows={'r1': 1}), 5.1)
+    assert not members.record_status(
+        'h', _status('a', seq=1, in_flight={'r1': 5}), 5.0)
+    assert members.record_status('h', _status('a', seq=2, in_flight={'r1': 1}),
+                                 5.1)
     assert members.in_flight('r1').requests == 1
 
 
@@ -86,9 +89,10 @@
     """A delayed message of the process before a restart counts requests that
     no longer exist."""
     members = membership.Members('me')
-    members.record_status('h', _status('a', boot=2, seq=1, rows={'r1': 1}), 0.0)
+    members.record_status(
+        'h', _status('a', started_at_ms=2, seq=1, in_flight={'r1': 1}), 0.0)
     assert not members.record_status(
-        'h', _status('a', boot=1, seq=99, rows={'r1': 9}), 0.1)
+        'h', _status('a', started_at_ms=1, seq=99, in_flight={'r1': 9}), 0.1)
     assert members.in_flight('r1').requests == 1
 
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -108,16 +108,17 @@
 LIMIT_MS = 200.0
 
 
-def _want(**fields):
+def _profile(**fields):
     return knowledge.RequestProfile(zone='z', **fields)
 
 
-def _choose(target, want, rng=random):
-    return placement.choose([target], want, placement.ServiceState(), 0.0, rng)
+def _choose(target, profile, rng=random):
+    return placement.choose([target], profile, placement.ServiceState(), 0.0,
+                            rng)
 
 
 def _queue_ms(target, now):
-    cost = costs.PlacementCosts(_want(), placement.ServiceState(), [target],
+    cost = costs.PlacementCosts(_profile(), placement.ServiceState(), [target],
                                 now)
     return cost.candidates[0].queue_ms
 
@@ -125,8 +126,8 @@
 def test_a_large_prompt_alone_is_not_refused():
     """The largest prompts are never served although nothing waits: their own
     prefill, 700 ms here, counts as a queue."""
-    want = _want(tokens=39600)
-    choice = _choose(_target(), want)
+    profile = _profile(tokens=39600)
+    choice = _choose(_target(), profile)
     assert overload.retry_after_s(choice, LIMIT_MS) is None
 
 
@@ -157,8 +158,8 @@
     rng = random.Random(1)
     target = _target()
     target.record_sent(57000)
-    want = _want(tokens=100)
-    choice = _choose(target, want, rng)
+    profile = _profile(tokens=100)
+    choice = _choose(target, profile, rng)
     times = [overload.retry_after_s(choice, LIMIT_MS, rng) for _ in range(50)]
     assert min(times) >= 1.0 and max(times) - min(times) > 0.5
 
@@ -259,9 +260,9 @@
         for i in range(2)
     ]
     service = placement.ServiceState()
-    want = _want(tokens=14000, tokens_out=10, queue_limit_ms=140.0)
-    first = placement.choose(targets, want, service, 0.0)
+    profile = _profile(tokens=14000, tokens_out=10, queue_limit_ms=140.0)
+    first = placement.choose(targets, profile, service, 0.0)
     first.target.record_sent(first.prefill_tokens)
-    second = placement.choose(targets, want, service, 0.0)
+    second = placement.choose(targets, profile, service, 0.0)
     assert second.target is not first.target
-    assert overload.retry_after_s(second, want.queue_limit_ms) is None
+    assert overload.retry_after_s(second, profile.queue_limit_ms) is None
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -68,8 +68,8 @@
     service = placement.ServiceState()
     slow = targets[-1]
     for i in range(50):
-        want = knowledge.RequestProfile(zone='z',
-                                        tokens=9000 + i,
-                                        tokens_out=50)
-        choice = placement.choose(targets, want, service, 0.0)
+        profile = knowledge.RequestProfile(zone='z',
+                                           tokens=9000 + i,
+                                           tokens_out=50)
+        choice = placement.choose(targets, profile, service, 0.0)
         assert choice.target is not slow
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -92,21 +92,21 @@
         assert len(partition.select_engines(targets, count)) == count
 
 
-def _chosen(targets, want, now):
-    return placement.choose(targets, want, placement.ServiceState(),
+def _chosen(targets, profile, now):
+    return placement.choose(targets, profile, placement.ServiceState(),
                             now).target.name
 
 
 def test_a_failing_replica_is_ejected_and_tried_again():
     """A replica that fails fast looks idle and attracts all requests."""
     targets = _targets(3)
-    want = knowledge.RequestProfile(zone='z')
+    profile = knowledge.RequestProfile(zone='z')
     targets[0].record_failure(0.0)
-    picked = {_chosen(targets, want, 0.1) for _ in range(50)}
+    picked = {_chosen(targets, profile, 0.1) for _ in range(50)}
     assert picked == {'r1', 'r2'}
     for target in targets[1:]:
         target.outstanding = 5
-    assert _chosen(targets, want, 1.0) == 'r0'
+    assert _chosen(targets, profile, 1.0) == 'r0'
 
 
 def test_a_replica_with_failed_responses_is_avoided():
@@ -116,8 +116,8 @@
         targets[0].record_response(False)
         targets[1].record_response(True)
         targets[2].record_response(True)
-    want = knowledge.RequestProfile(zone='z')
-    picked = {_chosen(targets, want, 0.0) for _ in range(50)}
+    profile = knowledge.RequestProfile(zone='z')
+    picked = {_chosen(targets, profile, 0.0) for _ in range(50)}
     assert picked == {'r1', 'r2'}
 
 
@@ -154,12 +154,12 @@
 
 def test_prompts_are_not_moved_by_a_lossy_link():
     """A long prefill tolerates a stall, and moving it repeats the prefill."""
-    want = knowledge.RequestProfile(zone='z', tokens=9000, tokens_out=60)
+    profile = knowledge.RequestProfile(zone='z', tokens=9000, tokens_out=60)
     lossy, good = _named(['e0', 'e1'])
     for _ in range(20):
         lossy.link.record_events(5, 5.0, held_up=True)
-    cost = costs.PlacementCosts(want, placement.ServiceState(), [lossy, good],
-                                5.0)
+    cost = costs.PlacementCosts(profile, placement.ServiceState(),
+                                [lossy, good], 5.0)
     at_lossy, at_good = (
         cost.total_ms(p, at_affinity=True) for p in cost.candidates)
     assert at_lossy == at_good
@@ -169,7 +169,7 @@
     """Long responses stay behind a lossy link at a site whose events contain
     few tokens, because the number of events is computed with the tokens per
     event of another site."""
-    want = knowledge.RequestProfile(zone='z', tokens=600, tokens_out=300)
+    profile = knowledge.RequestProfile(zone='z', tokens=600, tokens_out=300)
     weights = []
     for event_tokens in (6, 3):
         lossy, = _named(['e0'])
@@ -177,6 +177,6 @@
             lossy.link.record_events(1, 5.0)
         lossy.link.record_events(1, 5.0, held_up=True)
         service = placement.ServiceState(event_tokens=event_tokens)
-        cost = costs.PlacementCosts(want, service, [lossy], 5.0)
+        cost = costs.PlacementCosts(profile, service, [lossy], 5.0)
         weights.append(cost.total_ms(cost.candidates[0]))
     assert weights[1] > weights[0] + 100
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -106,23 +106,24 @@
     for at, (digest, number, _) in events:
         if number < 0:
             completed[digest] = max(at, completed.get(digest, -1))
-    seen = {}
+    crashes_by_digest = {}
     for at, (digest, number, weight) in events:
         if number >= 0 and at > completed.get(digest, -1):
-            old = seen.setdefault(digest, {}).get(number, 0)
-            seen[digest][number] = max(old, weight)
+            known_weight = crashes_by_digest.setdefault(digest,
+                                                        {}).get(number, 0)
+            crashes_by_digest[digest][number] = max(known_weight, weight)
     poison, explained = set(), set()
     while True:
         weights = {
             digest: sum(w for n, w in found.items() if n not in explained)
-            for digest, found in seen.items()
+            for digest, found in crashes_by_digest.items()
             if digest not in poison
         }
         worst = max(weights, key=lambda d: (weights[d], d), default=None)
         if worst is None or weights[worst] < suspects.POISON_WEIGHT:
             return poison
         poison.add(worst)
-        explained.update(seen[worst])
+        explained.update(crashes_by_digest[worst])
 
 
 @given(_EVENTS, st.randoms(use_true_random=False))
