--- a/bench/relay_capacity.py
+++ b/bench/relay_capacity.py
@@ -80,10 +80,10 @@
     for kind, path in (('plain', '/i/x'), ('stream', '/s/x')):
         before = cpu_s(pid)
         for i in range(BATCH):
-            reply = wire_callers.ask(site.callers,
-                                     path,
-                                     f'{kind}{i}',
-                                     body=b'x')
+            reply = wire_callers.send_request(site.callers,
+                                              path,
+                                              f'{kind}{i}',
+                                              body=b'x')
             assert reply.status == 200, reply
         row.append(f'{kind} {(cpu_s(pid) - before) / BATCH * 1000:.2f} ms')
     row.append(f'{rss_mb(pid):.1f} MB')
--- a/features/steps/crashing_steps.py
+++ b/features/steps/crashing_steps.py
@@ -37,7 +37,7 @@
 UNDER_WAY_S = 0.25
 """Time after which replicas crash under requests that take 0.8 s, s."""
 
-GUILTY = wire_replica.CRASH_MARK + b', and then something more'
+GUILTY = wire_replica.CRASH_MARKER + b', and then something more'
 
 
 @given('five entries on the platform before replicas that can crash')
@@ -45,7 +45,7 @@
     context.sites = platform_site.new_sites(context, 5, revoke_s=4.0)
     first = context.platform = context.sites[0]
     for i in range(REPLICAS):
-        first.add_crashing(f'p{i}', 'plain')
+        first.add_crashable(f'p{i}', 'plain')
     first.store.put('keyed.op', 'config', standin.config(1))
     for site in context.sites:
         site.start()
@@ -58,11 +58,11 @@
 
 
 def _ask(context, site, body):
-    return wire_callers.ask(site.callers,
-                            platform_site.PATHS['idempotent'],
-                            platform_site.new_rid(context),
-                            body=body,
-                            deadline_ms=DEADLINE_MS)
+    return wire_callers.send_request(site.callers,
+                                     platform_site.PATHS['idempotent'],
+                                     platform_site.new_rid(context),
+                                     body=body,
+                                     deadline_ms=DEADLINE_MS)
 
 
 def _runs(context, body):
@@ -95,7 +95,7 @@
 @then('its last callers get a final answer at once')
 def step_final(context):
     for reply in context.replies[-len(context.sites):]:
-        assert reply.status == 400 and reply.whole, reply
+        assert reply.status == 400 and reply.complete, reply
         assert 'retry-after' not in reply.headers, reply
 
 
@@ -156,7 +156,7 @@
     for _ in range(BURSTS):
         up = waiting.until(lambda: _all_up(context), 'all replicas')
         for replica in up:
-            replica.faults_of = dict.fromkeys(context.good, slow)
+            replica.scripts_by_body = dict.fromkeys(context.good, slow)
         with concurrent.futures.ThreadPoolExecutor(len(context.good)) as pool:
             answers = [
                 pool.submit(_ask, context, site, body) for site, body in zip(
@@ -177,7 +177,7 @@
 @then('the good requests are served at all five')
 def step_good_served(context):
     for replica in context.platform.replicas.values():
-        replica.faults_of = {}
+        replica.scripts_by_body = {}
     for site in context.sites:
         for body in context.good:
             reply = waiting.until(
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -26,10 +26,10 @@
     statuses = []
     while time.monotonic() < end:
         site = context.sites[len(statuses) % len(context.sites)]
-        reply = wire_callers.ask(site.callers,
-                                 platform_site.PATHS['idempotent'],
-                                 platform_site.new_rid(context),
-                                 body=b'good %d' % len(statuses))
+        reply = wire_callers.send_request(site.callers,
+                                          platform_site.PATHS['idempotent'],
+                                          platform_site.new_rid(context),
+                                          body=b'good %d' % len(statuses))
         statuses.append(reply.status)
         time.sleep(PAUSE_S)
     return statuses
@@ -40,7 +40,7 @@
 def step_limit(context, limit):
     _load(context, 1.0)
     context.replica = next(iter(context.platform.replicas.values()))
-    context.limit = context.replica.limit = limit
+    context.limit = context.replica.announced_limit = limit
     context.named_at = time.monotonic()
     context.statuses = _load(context, LOAD_S)
 
@@ -49,7 +49,7 @@
 def step_kept(context):
     at = [
         req.at
-        for req in context.replica.seen
+        for req in context.replica.received_requests
         if req.at > context.named_at + CONTACT_S
     ]
     most = max((
@@ -65,14 +65,14 @@
 
 @when('it names no limit any more while requests come to all entries')
 def step_over(context):
-    context.replica.limit = None
+    context.replica.announced_limit = None
     _load(context, CONTACT_S)
-    context.before = len(context.replica.seen)
+    context.before = len(context.replica.received_requests)
     context.statuses = _load(context, CONTACT_S)
 
 
 @then('it gets its part of the requests again')
 def step_part(context):
     part = len(context.statuses) / len(context.platform.replicas)
-    got = len(context.replica.seen) - context.before
+    got = len(context.replica.received_requests) - context.before
     assert got > part / 2, (got, part)
--- a/features/steps/operations_steps.py
+++ b/features/steps/operations_steps.py
@@ -33,8 +33,8 @@
 
 
 def _ask(context, path='/i/x', **kw):
-    return wire_callers.ask(context.platform.callers, path,
-                            platform_site.new_rid(context), **kw)
+    return wire_callers.send_request(context.platform.callers, path,
+                                     platform_site.new_rid(context), **kw)
 
 
 def _events(site, name):
@@ -65,7 +65,7 @@
 @then('the streams end whole and the new settings are in force')
 def step_reloaded(context):
     for reply in context.replies:
-        assert reply.whole and reply.body == platform_site.EVENTS, reply
+        assert reply.complete and reply.body == platform_site.EVENTS, reply
     context.platform.store.mode = 'silent'
     waiting.until(lambda: _ask(context).status == 503, 'the shorter bound')
 
@@ -162,7 +162,7 @@
     calls = context.platform.store.calls.total()
     assert calls <= STORE_CALLS_AT_START * len(context.sites), calls
     for i, site in enumerate(context.sites):
-        reply = wire_callers.ask(site.callers, '/i/x', f'after{i}')
+        reply = wire_callers.send_request(site.callers, '/i/x', f'after{i}')
         assert reply.status == 200, reply
 
 
@@ -182,7 +182,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.sendall(wire_callers.request_bytes('/s/x', f'flood{i}'))
     waiting.until(
-        lambda: sum(r.flooded for r in site.replicas.values()) > 1 << 20,
+        lambda: sum(r.flooded_bytes for r in site.replicas.values()) > 1 << 20,
         'the flood')
 
 
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -47,7 +47,9 @@
 
 
 def _seen(site, rid):
-    requests = [r for rep in site.replicas.values() for r in rep.seen]
+    requests = [
+        r for rep in site.replicas.values() for r in rep.received_requests
+    ]
     return any(r.headers.get('attempt-id') == rid for r in requests)
 
 
@@ -60,14 +62,14 @@
 @when('a less urgent and a more urgent request come')
 def step_come(context):
     site = context.platform
-    context.less = wire_callers.ask(site.callers,
-                                    '/s/x',
-                                    'less',
-                                    extra=('Token-Count: 100,10',))
-    context.more = wire_callers.ask(site.callers,
-                                    '/r/x',
-                                    'more',
-                                    extra=('Token-Count: 100,10',))
+    context.less = wire_callers.send_request(site.callers,
+                                             '/s/x',
+                                             'less',
+                                             extra=('Token-Count: 100,10',))
+    context.more = wire_callers.send_request(site.callers,
+                                             '/r/x',
+                                             'more',
+                                             extra=('Token-Count: 100,10',))
 
 
 @then('the less urgent one is told at once when to return and never runs')
@@ -79,4 +81,4 @@
 
 @then('the more urgent one is served')
 def step_served(context):
-    assert context.more.status == 200 and context.more.whole, context.more
+    assert context.more.status == 200 and context.more.complete, context.more
--- a/features/steps/platform_site.py
+++ b/features/steps/platform_site.py
@@ -64,8 +64,8 @@
 def ask(context, kind='idempotent', **kw):
     site = context.platform
     context.rid = new_rid(context)
-    context.reply = wire_callers.ask(site.callers, PATHS[kind], context.rid,
-                                     **kw)
+    context.reply = wire_callers.send_request(site.callers, PATHS[kind],
+                                              context.rid, **kw)
     return context.reply
 
 
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -48,19 +48,19 @@
     if body == 'whole':
         name, req = ran[-1]
         want = f'{name}:{req.method}:{req.target}:'.encode() + req.body
-        assert reply.whole and reply.body == want, reply
+        assert reply.complete and reply.body == want, reply
         assert reply.headers['replica-seal'] == wire_replica.SEAL
     elif body == 'events':
-        assert reply.whole and reply.body == platform_site.EVENTS, reply
+        assert reply.complete and reply.body == platform_site.EVENTS, reply
         # The head stays that of the first replica.
         seals = {f'{wire_replica.SEAL}.{name}' for name, _ in ran}
         assert reply.headers['replica-seal'] in seals
     elif body == 'broken':
-        assert not reply.whole and platform_site.EVENTS.startswith(
+        assert not reply.complete and platform_site.EVENTS.startswith(
             reply.body), reply
         assert reply.body, reply
     else:
-        assert reply.whole and 'replica-seal' not in reply.headers, reply
+        assert reply.complete and 'replica-seal' not in reply.headers, reply
         assert ('retry-after' in reply.headers) == (body == 'not run')
 
 
@@ -107,7 +107,7 @@
                                                 'Token-Count: 10,400'))
     with wire_callers.connect(site.callers) as sock:
         sock.sendall(request)
-        context.reply = wire_callers.read_answer(sock)
+        context.reply = wire_callers.read_response(sock)
 
 
 @then('it ran once and went on {times:d} times')
@@ -115,7 +115,7 @@
     assert len(platform_site.runs_of(context, context.rid)) == 1
     continued = [
         req for replica in context.platform.replicas.values()
-        for req in replica.continued
+        for req in replica.resumed_requests
     ]
     assert len(continued) == times, continued
 
@@ -135,7 +135,7 @@
 @then('each caller got its own answer')
 def step_own(context):
     for rid, reply in context.replies:
-        assert reply.status == 200 and reply.whole, reply
+        assert reply.status == 200 and reply.complete, reply
         assert reply.headers['attempt-id'] == rid, reply
         assert len(platform_site.runs_of(context, rid)) == 1
 
@@ -155,7 +155,7 @@
 @then('the replica sees the request\'s channel close')
 def step_close_seen(context):
     waiting.until(
-        lambda: any(context.rid in r.left
+        lambda: any(context.rid in r.abandoned_ids
                     for r in context.platform.replicas.values()),
         'the closed channel')
 
@@ -210,11 +210,11 @@
     context.rid = platform_site.new_rid(context)
     with wire_callers.connect(context.platform.callers) as sock:
         sock.sendall(_bad_request(context, case))
-        context.reply = wire_callers.read_answer(sock)
+        context.reply = wire_callers.read_response(sock)
 
 
 @then('the caller gets status {status:d} and no replica saw it')
 def step_denied(context, status):
     assert context.reply.status == status, context.reply
     for replica in context.platform.replicas.values():
-        assert not replica.seen, replica.seen
+        assert not replica.received_requests, replica.received_requests
--- a/features/steps/platform_stop_steps.py
+++ b/features/steps/platform_stop_steps.py
@@ -18,7 +18,7 @@
     site = context.platform
     with concurrent.futures.ThreadPoolExecutor(8) as pool:
         futs = [
-            pool.submit(wire_callers.ask,
+            pool.submit(wire_callers.send_request,
                         site.callers,
                         platform_site.PATHS['streaming'],
                         platform_site.new_rid(context),
@@ -32,11 +32,12 @@
 def step_stopped(context):
     site = context.platform
     assert wire_callers.status(site.readiness) == 503
-    late = wire_callers.ask(site.callers, platform_site.PATHS['idempotent'],
-                            platform_site.new_rid(context))
+    late = wire_callers.send_request(site.callers,
+                                     platform_site.PATHS['idempotent'],
+                                     platform_site.new_rid(context))
     assert late.status == 200 and late.headers['connection'] == 'close', late
     for reply in context.replies:
-        assert reply.whole and reply.body == platform_site.EVENTS, reply
+        assert reply.complete and reply.body == platform_site.EVENTS, reply
     assert site.proc.wait(timeout=20) == 0
 
 
@@ -53,10 +54,11 @@
         while site.proc.poll() is None:
             rid = f'{n:08x}{time.monotonic_ns() & 0xffffffff:08x}'
             try:
-                reply = wire_callers.ask(site.callers,
-                                         platform_site.PATHS['streaming'],
-                                         rid,
-                                         body=b'x')
+                reply = wire_callers.send_request(
+                    site.callers,
+                    platform_site.PATHS['streaming'],
+                    rid,
+                    body=b'x')
             except OSError:
                 continue
             context.asked.append((rid, reply))
@@ -71,7 +73,7 @@
 
 @then('every request that was handed on was answered whole')
 def step_answered_whole(context):
-    whole = {rid for rid, reply in context.asked if reply.whole}
+    whole = {rid for rid, reply in context.asked if reply.complete}
     assert len(whole) > 50, len(whole)
     cut = [
         rid for rid, _ in context.asked
--- a/features/steps/platform_store_steps.py
+++ b/features/steps/platform_store_steps.py
@@ -15,7 +15,7 @@
 @when('the key of "{account}" is taken away')
 def step_revoke(context, account):
     assert platform_site.ask(context).status == 200
-    keys = {k: a for k, a in standin.KEYS.items() if a != account}
+    keys = {k: a for k, a in standin.ACCOUNTS_BY_KEY.items() if a != account}
     context.platform.store.put('keyed.op', 'config', standin.config(2,
                                                                     keys=keys))
 
@@ -63,10 +63,10 @@
 
 @then('requests on an open route are still served')
 def step_open(context):
-    reply = wire_callers.ask(context.platform.callers,
-                             '/o/x',
-                             platform_site.new_rid(context),
-                             key=None)
+    reply = wire_callers.send_request(context.platform.callers,
+                                      '/o/x',
+                                      platform_site.new_rid(context),
+                                      key=None)
     assert reply.status == 200, reply
 
 
@@ -98,13 +98,13 @@
 def step_newest(context):
 
     def served():
-        reply = wire_callers.ask(context.platform.callers, '/v11/x',
-                                 platform_site.new_rid(context))
+        reply = wire_callers.send_request(context.platform.callers, '/v11/x',
+                                          platform_site.new_rid(context))
         return reply.status == 200
 
     waiting.until(served, 'version 11')
-    reply = wire_callers.ask(context.platform.callers, '/v10/x',
-                             platform_site.new_rid(context))
+    reply = wire_callers.send_request(context.platform.callers, '/v10/x',
+                                      platform_site.new_rid(context))
     assert reply.status == 404, reply
 
 
@@ -138,10 +138,10 @@
     replica = context.platform.replicas['p1']
 
     def quiet():
-        before = len(replica.seen)
+        before = len(replica.received_requests)
         for _ in range(10):
             assert platform_site.ask(context).status == 200
-        return len(replica.seen) == before
+        return len(replica.received_requests) == before
 
     waiting.until(quiet, 'no new work')
 
--- a/features/steps/sharing_steps.py
+++ b/features/steps/sharing_steps.py
@@ -51,8 +51,8 @@
 
 
 def _ask(context, site, **kw):
-    return wire_callers.ask(site.callers, '/i/x',
-                            platform_site.new_rid(context), **kw)
+    return wire_callers.send_request(site.callers, '/i/x',
+                                     platform_site.new_rid(context), **kw)
 
 
 @then('the store gets the calls of three entries')
@@ -85,7 +85,7 @@
 
 
 def _take_away(context, account='gate'):
-    keys = {k: a for k, a in standin.KEYS.items() if a != account}
+    keys = {k: a for k, a in standin.ACCOUNTS_BY_KEY.items() if a != account}
     context.platform.store.put('keyed.op', 'config', standin.config(2,
                                                                     keys=keys))
 
--- a/gorsefall/emulator/clock.py
+++ b/gorsefall/emulator/clock.py
@@ -12,7 +12,7 @@
         self._due = []
         self._count = itertools.count()
 
-    def later(self, delay_s, callback):
+    def call_later(self, delay_s, callback):
         """Calls ``callback()`` after a time, s."""
         heapq.heappush(self._due,
                        (self.now + delay_s, next(self._count), callback))
--- a/gorsefall/emulator/crashing.py
+++ b/gorsefall/emulator/crashing.py
@@ -62,7 +62,7 @@
     def look(self, replica, done):
         """See ``ends.Ends``."""
         verdict = ends.Verdict.ALIVE if replica.up else ends.Verdict.ENDED
-        self.site.loop.later(WAY_S, lambda: done(verdict))
+        self.site.loop.call_later(WAY_S, lambda: done(verdict))
 
     def send_all(self, message):
         """See ``peers.Peers``."""
@@ -95,11 +95,11 @@
                     lambda entry: entry.crashes.heard(status, self.number),
                     other)
         spread = self.site.rng.uniform(*peers.SPREAD)
-        self.site.loop.later(self.site.heartbeat_s * spread, self.speak)
+        self.site.loop.call_later(self.site.heartbeat_s * spread, self.speak)
 
     def _send(self, arrive, other):
         if self.site.rng.random() >= self.site.lost:
-            self.site.loop.later(WAY_S, lambda: arrive(other))
+            self.site.loop.call_later(WAY_S, lambda: arrive(other))
 
 
 class Exchange:
@@ -132,7 +132,7 @@
         if self._guilty:
             self._site.guilty_runs.append(self._sent_at)
         wait_s = CRASH_S if self._guilty else self._run_s
-        self._site.loop.later(wait_s, lambda: self._over(replica))
+        self._site.loop.call_later(wait_s, lambda: self._over(replica))
 
     def _over(self, replica):
         if self not in replica.runs:
@@ -163,7 +163,7 @@
     def _end(self, outcome):
         self._entry.crashes.ended(self._digest, self)
         if outcome == 'failed' and self._back:
-            self._site.loop.later(RETURN_S, self._return)
+            self._site.loop.call_later(RETURN_S, self._return)
         elif not self._guilty:
             self._site.good[outcome] += 1
 
@@ -198,7 +198,8 @@
             self._add()
         self.entries = [Entry(self, i) for i in range(entries)]
         for entry in self.entries:
-            self.loop.later(self.rng.uniform(0, self.heartbeat_s), entry.speak)
+            self.loop.call_later(self.rng.uniform(0, self.heartbeat_s),
+                                 entry.speak)
 
     def _add(self):
         name = f'r{next(self._starts)}'
@@ -219,7 +220,7 @@
         """Ends a replica, with all that runs there."""
         replica.up = False
         runs, replica.runs = replica.runs, set()
-        self.loop.later(BACK_S, lambda: self._back(replica))
+        self.loop.call_later(BACK_S, lambda: self._back(replica))
         for run in sorted(runs, key=id):
             run.broke(replica)
 
--- a/gorsefall/entry/app.py
+++ b/gorsefall/entry/app.py
@@ -205,7 +205,7 @@
     @core.handler('started', channel='*')
     def _on_started(self, component):
         del component
-        reactor.of(self).every(SWEEP_S, self._sweep)
+        reactor.find_reactor(self).call_every(SWEEP_S, self._sweep)
 
     def _sweep(self):
         """Looks for passed deadlines, the starved and the drain's end."""
@@ -307,7 +307,7 @@
         self._ending = True
         self.log.info('stopped', left=len(self.jobs))
         # Give the last replies a moment to be written out.
-        reactor.of(self).later(LAST_WRITES_S, self.root.stop)
+        reactor.find_reactor(self).call_later(LAST_WRITES_S, self.root.stop)
 
 
 def build(cfg):
@@ -316,7 +316,7 @@
     server = web.Server((host, port), channel=replies.WEB_CHANNEL)
     loop = reactor.Reactor().register(server)
     poller.Poller(loop).register(server)
-    links.Links(loop).register(server)
+    links.ConnectionPools(loop).register(server)
     replies.JsonOnly().register(server)
     entry = Entry(cfg).register(server)
     api.V1(entry).register(server)
--- a/gorsefall/entry/watchers.py
+++ b/gorsefall/entry/watchers.py
@@ -44,7 +44,7 @@
     @core.handler('started', channel='*')
     def _on_started(self, component):
         del component
-        reactor.of(self).every(self.period_s, self._tick)
+        reactor.find_reactor(self).call_every(self.period_s, self._tick)
         self.poll()
 
     def _tick(self):
--- a/gorsefall/net/datagrams.py
+++ b/gorsefall/net/datagrams.py
@@ -7,10 +7,10 @@
 from gorsefall import logs
 from gorsefall.net import reactor
 
-RECV_BYTES = 65536
+MAX_DATAGRAM_BYTES = 65536
 """Longest datagram."""
 
-MOST_AT_ONCE = 64
+MAX_DATAGRAMS_PER_PASS = 64
 """Datagrams read before other sockets get their turn: one who floods this
 socket must not stop requests."""
 
@@ -19,7 +19,7 @@
     """A bound UDP socket.
 
     Attributes:
-        received: Called with ``(data, host)`` of each datagram.
+        on_datagram: Called with ``(data, host)`` of each datagram.
         bytes_in: Bytes received.
         bytes_out: Bytes sent.
 
@@ -27,11 +27,11 @@
         errors.SettingsError: The address cannot be bound.
     """
 
-    def __init__(self, loop, addr, received):
+    def __init__(self, loop, addr, on_datagram):
         self._loop = loop
         self._log = logs.get('datagrams')
         self._refused = False
-        self.received = received
+        self.on_datagram = on_datagram
         self.bytes_in = self.bytes_out = 0
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.setblocking(False)
@@ -58,25 +58,25 @@
 
     def on_readable(self):
         """See ``reactor.Handler``."""
-        for _ in range(MOST_AT_ONCE):
+        for _ in range(MAX_DATAGRAMS_PER_PASS):
             try:
-                data, (host, _) = self._sock.recvfrom(RECV_BYTES)
+                data, (host, _) = self._sock.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError:
                 # Nothing is left, or an earlier datagram met a closed port.
                 return
             self.bytes_in += len(data)
-            self.received(data, host)
+            self.on_datagram(data, host)
 
     def on_writable(self):
         """Endpoints are never watched for writing."""
 
     def close(self):
         """Stops receiving."""
-        self._loop.forget(self._sock)
+        self._loop.unwatch(self._sock)
         self._sock.close()
 
 
-def is_host(text):
+def is_ipv4_address(text):
     """Returns whether ``text`` is an IPv4 address."""
     try:
         ipaddress.IPv4Address(text)
--- a/gorsefall/net/headers.py
+++ b/gorsefall/net/headers.py
@@ -8,13 +8,13 @@
 
     Attributes:
         items: ``(name, value)`` bytes; names keep their case.
-        first: Lowercase name -> its first value.
+        by_name: Lowercase name -> its first value.
     """
     items: list[tuple[bytes, bytes]]
-    first: dict[bytes, bytes]
+    by_name: dict[bytes, bytes]
 
 
-def read(items):
+def from_items(items):
     """Returns the ``Headers`` of an iterable of ``(name, value)`` bytes."""
     items = list(items)
     first = {}
--- a/gorsefall/net/silence.py
+++ b/gorsefall/net/idletimer.py
@@ -1,7 +1,7 @@
 """Notices a peer that has stopped sending."""
 
 
-class Watch:
+class IdleTimer:
     """Calls back once when nothing was heard from a peer for a while.
 
     The time counts from the last byte, not from the start of a call. A
@@ -24,9 +24,9 @@
         self._idle_s = idle_s
         self._on_silent = on_silent
         self._heard_at = loop.now + first_s
-        self._timer = loop.later(first_s + idle_s, self._check)
+        self._timer = loop.call_later(first_s + idle_s, self._check)
 
-    def heard(self):
+    def reset(self):
         """Notes that something came."""
         self._heard_at = self._loop.now
 
@@ -37,6 +37,7 @@
     def _check(self):
         silent_s = self._loop.now - self._heard_at
         if silent_s < self._idle_s:
-            self._timer = self._loop.later(self._idle_s - silent_s, self._check)
+            self._timer = self._loop.call_later(self._idle_s - silent_s,
+                                                self._check)
             return
         self._on_silent()
--- a/gorsefall/net/links.py
+++ b/gorsefall/net/links.py
@@ -6,13 +6,13 @@
 from gorsefall import errors
 from gorsefall import metrics
 from gorsefall.net import outbound
-from gorsefall.net import silence
+from gorsefall.net import idletimer
 
 CONNECT_TIMEOUT_S = 1.0
 """Longest time to connect, s; within a zone it takes under a ms, and a lost
 first packet is sent again after a second."""
 
-MAX_CHANNELS = 10_000
+MAX_CONNECTIONS = 10_000
 """Channels to one peer, at most; admission bounds them long before."""
 
 _FRAMED = (b'content-length', b'transfer-encoding')
@@ -57,7 +57,7 @@
         self._idle_s = idle_s
         self._framed = False
         self._channel = None
-        self._watch = silence.Watch(loop, idle_s, self._silent)
+        self._watch = idletimer.IdleTimer(loop, idle_s, self._silent)
 
     def begin(self, pool):
         """Sends the request on a channel of ``pool``."""
@@ -70,16 +70,16 @@
 
     def on_head(self, status, fields):
         """See ``outbound.Call``."""
-        self._watch.heard()
+        self._watch.reset()
         self.sent = True
         self.status = status
-        self._framed = any(name in fields.first for name in _FRAMED)
+        self._framed = any(name in fields.by_name for name in _FRAMED)
         if self._on_head:
             self._on_head(status)
 
     def on_data(self, data):
         """See ``outbound.Call``."""
-        self._watch.heard()
+        self._watch.reset()
         if self._on_data:
             self._on_data(data)
 
@@ -121,7 +121,7 @@
                                           f'{why} (sent={self.sent})'))
 
 
-class Links(core.BaseComponent):
+class ConnectionPools(core.BaseComponent):
     """The process's channels to other processes.
 
     circuits' own ``TCPClient`` polls in a busy loop while it connects and
@@ -146,14 +146,14 @@
         if pool is None:
             pool = outbound.Pool(self.loop,
                                  addr,
-                                 cap=MAX_CHANNELS,
+                                 max_size=MAX_CONNECTIONS,
                                  connect_timeout_s=CONNECT_TIMEOUT_S)
             self._pools[addr] = pool
         return pool
 
 
 def _links(root):
-    return next(c for c in root.components if isinstance(c, Links))
+    return next(c for c in root.components if isinstance(c, ConnectionPools))
 
 
 def call(mgr,
--- a/gorsefall/net/outbound.py
+++ b/gorsefall/net/outbound.py
@@ -14,11 +14,11 @@
 from gorsefall.net import headers
 from gorsefall.net import tcp
 
-DEFAULT_IDLE_S = 0.4
+DEFAULT_IDLE_TIMEOUT_S = 0.4
 """How long a channel is kept where its peer names no timeout, s. Peers name
 theirs in whole seconds, so an unnamed one may be under a second."""
 
-IDLE_SHARE = 0.7
+IDLE_TIMEOUT_FRACTION = 0.7
 """Part of a peer's idle timeout for which a channel is used again; the rest
 covers the way there, so that no request crosses the peer's close."""
 
@@ -37,7 +37,7 @@
     """
     sent: bool
     reason: str
-    broke: bool = False
+    connection_lost: bool = False
 
 
 class Call:
@@ -56,7 +56,7 @@
         self.fields = fields
         self.body = body
 
-    def is_mine(self, status, fields):
+    def matches_response(self, status, fields):
         """Returns whether an answer head belongs to this request."""
         del status, fields
         return True
@@ -74,7 +74,7 @@
         """Called once with the ``Failure`` when there is no whole answer."""
 
 
-class Channel:
+class Connection:
     """One connection to a peer.
 
     Attributes:
@@ -100,9 +100,9 @@
         self._h11 = None
         self._spoilt = False
         self._skipping = False
-        self._idle_s = DEFAULT_IDLE_S
+        self._idle_s = DEFAULT_IDLE_TIMEOUT_S
         self._conn = tcp.Connection(loop, self)
-        self._timer = loop.later(timeout_s, self._not_connected)
+        self._timer = loop.call_later(timeout_s, self._not_connected)
         self._conn.connect(addr, window_bytes)
 
     @property
@@ -120,14 +120,14 @@
         """See the class."""
         return self._conn.bytes_out
 
-    def usable(self):
+    def is_reusable(self):
         """Returns whether an idle channel is sound and quiet."""
-        return self._conn.open and not self._conn.stray()
+        return self._conn.is_open and not self._conn.has_pending_input()
 
     def send(self, call):
         """Sends ``call``; only when no other is under way."""
         self._call = call
-        self._conn.wrote = False
+        self._conn.has_written = False
         self._conn.write(self._begin(call))
 
     def _begin(self, call):
@@ -148,7 +148,7 @@
             Whether the peer may have received any of the request.
         """
         self._call = None
-        sent = self._conn.wrote
+        sent = self._conn.has_written
         self._shut()
         return sent
 
@@ -210,16 +210,16 @@
         return True
 
     def _on_response(self, event):
-        fields = headers.read(event.headers.raw_items())
-        if not self._call.is_mine(event.status_code, fields):
+        fields = headers.from_items(event.headers.raw_items())
+        if not self._call.matches_response(event.status_code, fields):
             # A peer may answer an earlier request twice or late. Taking
             # that for the answer due here would hand one caller another's
             # answer. It is read past; the channel is not used again.
             self._skipping = self._spoilt = True
             return
-        keep = _KEEP_ALIVE.search(fields.first.get(b'keep-alive', b''))
+        keep = _KEEP_ALIVE.search(fields.by_name.get(b'keep-alive', b''))
         if keep:
-            self._idle_s = IDLE_SHARE * int(keep.group(1))
+            self._idle_s = IDLE_TIMEOUT_FRACTION * int(keep.group(1))
         self._call.on_head(event.status_code, fields)
 
     def _on_message_end(self):
@@ -234,7 +234,8 @@
         # one for the rest of this.
         rest, closed = self._h11.trailing_data
         sound = (not self._spoilt and not rest and not closed and
-                 not self._conn.unsent and self._h11.their_state is h11.DONE and
+                 not self._conn.unsent_bytes and
+                 self._h11.their_state is h11.DONE and
                  self._h11.our_state is h11.DONE)
         call, self._call = self._call, None
         if sound:
@@ -251,7 +252,7 @@
 
     def _fail(self, reason, *, broke=False):
         call, self._call = self._call, None
-        sent = self._conn.wrote
+        sent = self._conn.has_written
         self._shut()
         if call is not None:
             call.on_fail(Failure(sent, reason, broke))
@@ -270,14 +271,14 @@
     Attributes:
         opened: Channels that were opened.
         size: Channels open now.
-        cap: Most channels open at once.
+        max_size: Most channels open at once.
     """
 
     def __init__(self,
                  loop,
                  addr,
                  *,
-                 cap,
+                 max_size,
                  connect_timeout_s,
                  window_bytes=None):
         self._loop = loop
@@ -285,22 +286,23 @@
         self._connect_timeout_s = connect_timeout_s
         self._window_bytes = window_bytes
         self._idle = collections.deque()
-        self.cap = cap
+        self.max_size = max_size
         self.size = 0
-        self.opened = 0
+        self.opened_count = 0
 
-    def full(self):
+    def is_full(self):
         """Returns whether no call can be sent now."""
-        return self.size >= self.cap and not self._idle
+        return self.size >= self.max_size and not self._idle
 
     def send(self, call):
         """Sends ``call`` on a kept channel or a new one; returns it."""
         channel = self._kept()
         if channel is None:
             self.size += 1
-            self.opened += 1
-            channel = Channel(self._loop, self._addr, self._connect_timeout_s,
-                              self._on_released, self._window_bytes)
+            self.opened_count += 1
+            channel = Connection(self._loop, self._addr,
+                                 self._connect_timeout_s, self._on_released,
+                                 self._window_bytes)
         channel.send(call)
         return channel
 
@@ -308,14 +310,14 @@
         while self._idle:
             channel, timer = self._idle.pop()
             timer.cancel()
-            if channel.usable():
+            if channel.is_reusable():
                 return channel
             channel.close()
         return None
 
     def _on_released(self, channel, idle_s):
         if idle_s:
-            timer = self._loop.later(idle_s, channel.close)
+            timer = self._loop.call_later(idle_s, channel.close)
             self._idle.append((channel, timer))
             return
         self.size -= 1
--- a/gorsefall/net/poller.py
+++ b/gorsefall/net/poller.py
@@ -26,7 +26,7 @@
         """See ``reactor.Handler``."""
         self._tell(pollers._write)
 
-    def on_fault(self):
+    def on_handler_error(self):
         """See ``reactor.Handler``; firing an event does not fail."""
 
     def _tell(self, event):
@@ -83,4 +83,4 @@
         if read or write:
             self._loop.watch(fd, _Watched(self, fd), read=read, write=write)
         else:
-            self._loop.forget(fd)
+            self._loop.unwatch(fd)
--- a/gorsefall/net/reactor.py
+++ b/gorsefall/net/reactor.py
@@ -27,10 +27,10 @@
 
 class Timer:
     """A callback due at one moment of the steady clock; may be cancelled."""
-    __slots__ = ('due', 'callback')
+    __slots__ = ('due_at', 'callback')
 
-    def __init__(self, due, callback):
-        self.due = due
+    def __init__(self, due_at, callback):
+        self.due_at = due_at
         self.callback = callback
 
     def cancel(self):
@@ -49,11 +49,11 @@
         """Called when the socket takes bytes again, or has connected."""
         raise NotImplementedError
 
-    def on_fault(self):
+    def on_handler_error(self):
         """Called when one of the other calls raised an exception."""
 
 
-def of(component):
+def find_reactor(component):
     """Returns the ``Reactor`` of a running component's process."""
     return utils.findcmp(component.root, Reactor)
 
@@ -92,27 +92,27 @@
             self._epoll.register(fd, mask)
         self._watched[fd] = handler
 
-    def forget(self, sock):
+    def unwatch(self, sock):
         """Stops watching ``sock``; call it before closing the socket."""
         fd = sock.fileno()
         if self._watched.pop(fd, None) is not None:
             self._epoll.unregister(fd)
 
-    def later(self, delay_s, callback):
+    def call_later(self, delay_s, callback):
         """Calls ``callback()`` after ``delay_s`` seconds; returns a Timer."""
         timer = Timer(time.monotonic() + delay_s, callback)
-        heapq.heappush(self._due, (timer.due, next(self._count), timer))
+        heapq.heappush(self._due, (timer.due_at, next(self._count), timer))
         return timer
 
-    def every(self, period_s, callback):
+    def call_every(self, period_s, callback):
         """Calls ``callback()`` every ``period_s`` seconds from now on."""
 
         def due():
             # Set first, so that a call that fails is not the last one.
-            self.later(period_s, due)
+            self.call_later(period_s, due)
             callback()
 
-        self.later(period_s, due)
+        self.call_later(period_s, due)
 
     @core.handler('generate_events', priority=-9)
     def _on_generate_events(self, event):
@@ -153,7 +153,7 @@
             # every other request; it is logged with its traceback, and the
             # connection ends so that nobody waits on it in vain.
             self._log.exception('handler_failed')
-            handler.on_fault()
+            handler.on_handler_error()
 
     def _drop_cancelled(self):
         while self._due and self._due[0][2].callback is None:
--- a/gorsefall/net/tcp.py
+++ b/gorsefall/net/tcp.py
@@ -8,8 +8,8 @@
 from gorsefall import errors
 from gorsefall.net import reactor
 
-RECV_BYTES = 65536
-BACKLOG = 512
+MAX_RECV_BYTES = 65536
+LISTEN_BACKLOG = 512
 """Connections the kernel holds for us; a full queue costs a caller seconds,
 as its opening packet is dropped and sent again."""
 
@@ -19,7 +19,7 @@
 a few lost packets' retransmissions (200 ms each)."""
 
 KEEPALIVE_IDLE_S = 2
-KEEPALIVE_COUNT = 2
+KEEPALIVE_PROBES = 2
 """Probes, each KEEPALIVE_IDLE_S apart, that go unanswered before a quiet
 connection is taken for dead."""
 
@@ -32,7 +32,7 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_IDLE_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_COUNT)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
 
 
 class Connection(reactor.Handler):
@@ -59,15 +59,15 @@
         self._out = bytearray()
         self._reading = True
         self._connecting = False
-        self.wrote = self.refused = False
+        self.has_written = self.was_refused = False
         self.bytes_in = self.bytes_out = 0
-        self.open = sock is not None
+        self.is_open = sock is not None
         if sock is not None:
             _options(sock)
             self._watch()
 
     @property
-    def unsent(self):
+    def unsent_bytes(self):
         """See the class."""
         return len(self._out)
 
@@ -84,18 +84,18 @@
         if window_bytes is not None:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, window_bytes)
         self._sock = sock
-        self.open = True
+        self.is_open = True
         self._connecting = True
         code = sock.connect_ex(addr)
         if code not in (0, errno.EINPROGRESS):
             # Deferred, so that no callback comes before this returns.
-            self._loop.later(0, lambda: self._not_connected(code))
+            self._loop.call_later(0, lambda: self._not_connected(code))
             return
         self._watch()
 
     def write(self, data):
         """Sends ``data``, now or as soon as the peer takes it."""
-        if not self.open:
+        if not self.is_open:
             return
         self._out += data
         if not self._connecting:
@@ -109,7 +109,7 @@
         """Reads again after ``pause``."""
         self._set_reading(True)
 
-    def stray(self):
+    def has_pending_input(self):
         """Returns whether unread bytes or an end wait on the socket."""
         try:
             self._sock.recv(1, socket.MSG_PEEK)
@@ -121,15 +121,15 @@
 
     def close(self):
         """Closes the connection; nothing is called after this."""
-        if not self.open:
+        if not self.is_open:
             return
-        self.open = False
-        self._loop.forget(self._sock)
+        self.is_open = False
+        self._loop.unwatch(self._sock)
         self._sock.close()
 
     def abort(self):
         """Closes with a reset, so that the peer cannot take it for an end."""
-        if self.open:
+        if self.is_open:
             with contextlib.suppress(OSError):
                 self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
                                       b'\x01\0\0\0\0\0\0\0')
@@ -145,7 +145,7 @@
             self._check_hang_up()
             return
         try:
-            data = self._sock.recv(RECV_BYTES)
+            data = self._sock.recv(MAX_RECV_BYTES)
         except BlockingIOError:
             return
         except OSError as exc:
@@ -163,7 +163,7 @@
             return
         self._flush()
 
-    def on_fault(self):
+    def on_handler_error(self):
         """See ``reactor.Handler``."""
         self._break('fault in the handler')
 
@@ -178,11 +178,11 @@
             return
         self._connecting = False
         self._owner.on_connected()
-        if self.open:
+        if self.is_open:
             self._flush()
 
     def _not_connected(self, code):
-        self.refused = code == errno.ECONNREFUSED
+        self.was_refused = code == errno.ECONNREFUSED
         self._break(os.strerror(code))
 
     def _flush(self):
@@ -195,7 +195,7 @@
                 self._break(exc.strerror)
                 return
             if n:
-                self.wrote = True
+                self.has_written = True
                 self.bytes_out += n
                 del self._out[:n]
         self._watch()
@@ -205,7 +205,7 @@
     def _set_reading(self, reading):
         if self._reading != reading:
             self._reading = reading
-            if self.open:
+            if self.is_open:
                 self._watch()
 
     def _watch(self):
@@ -215,7 +215,7 @@
                          write=self._connecting or bool(self._out))
 
     def _break(self, reason):
-        if self.open:
+        if self.is_open:
             self.close()
             self._owner.on_broken(reason)
 
@@ -224,15 +224,15 @@
     """Accepts connections on one address.
 
     Attributes:
-        accept: Called with each new socket.
+        on_accept: Called with each new socket.
 
     Raises:
         errors.SettingsError: The address cannot be listened on.
     """
 
-    def __init__(self, loop, addr, accept):
+    def __init__(self, loop, addr, on_accept):
         self._loop = loop
-        self.accept = accept
+        self.on_accept = on_accept
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._sock.setblocking(False)
@@ -242,7 +242,7 @@
             raise errors.SettingsError(
                 f'cannot listen on {addr[0]}:{addr[1]}: {exc.strerror}'
             ) from exc
-        self._sock.listen(BACKLOG)
+        self._sock.listen(LISTEN_BACKLOG)
         self.addr = self._sock.getsockname()
         loop.watch(self._sock, self, read=True, write=False)
 
@@ -255,12 +255,12 @@
                 # Nothing left to accept, the peer gave up, or descriptors
                 # are used up: the poller calls again while any wait.
                 return
-            self.accept(sock)
+            self.on_accept(sock)
 
     def on_writable(self):
         """Listeners are never watched for writing."""
 
     def close(self):
         """Stops accepting."""
-        self._loop.forget(self._sock)
+        self._loop.unwatch(self._sock)
         self._sock.close()
--- a/gorsefall/relay/announcing.py
+++ b/gorsefall/relay/announcing.py
@@ -37,7 +37,7 @@
 
     def start(self):
         """Begins to follow which entries are there."""
-        self._loop.later(PART_S, self.start)
+        self._loop.call_later(PART_S, self.start)
         self._announced = {
             name: replica
             for name, replica in self._announced.items()
--- a/gorsefall/relay/crashes.py
+++ b/gorsefall/relay/crashes.py
@@ -87,10 +87,10 @@
     def start(self, peers):
         """Begins to share with other entries, if there are ``peers``."""
         self._peers = peers
-        self._loop.later(EXPIRE_S, self._expire)
+        self._loop.call_later(EXPIRE_S, self._expire)
 
     def _expire(self):
-        self._loop.later(EXPIRE_S, self._expire)
+        self._loop.call_later(EXPIRE_S, self._expire)
         self.suspects.expire(self._clock())
 
     # -- before a send ---------------------------------------------------------
@@ -128,7 +128,7 @@
         if self._under_way.get(digest) is exchange:
             del self._under_way[digest]
             for waiting in self._parked.pop(digest, ()):
-                self._loop.later(0, waiting.go_on)
+                self._loop.call_later(0, waiting.go_on)
 
     # -- what is seen here -----------------------------------------------------
 
--- a/gorsefall/relay/ends.py
+++ b/gorsefall/relay/ends.py
@@ -20,7 +20,8 @@
     def __init__(self, loop, addr, timeout_s, done):
         self._done = done
         self._conn = tcp.Connection(loop, self)
-        self._timer = loop.later(timeout_s, lambda: self._end(Verdict.UNKNOWN))
+        self._timer = loop.call_later(timeout_s,
+                                      lambda: self._end(Verdict.UNKNOWN))
         self._conn.connect(addr)
 
     def on_connected(self):
@@ -32,7 +33,7 @@
         del reason
         # Only a refusal is the VM's own word that no process listens there;
         # a way that is cut shows as nothing at all.
-        self._end(Verdict.ENDED if self._conn.refused else Verdict.UNKNOWN)
+        self._end(Verdict.ENDED if self._conn.was_refused else Verdict.UNKNOWN)
 
     def on_drained(self):
         """See ``tcp.Connection``."""
--- a/gorsefall/relay/exchange.py
+++ b/gorsefall/relay/exchange.py
@@ -65,7 +65,7 @@
         if self.req.time_left_s is not None:
             left = min(left, self.req.time_left_s)
         self._deadline = self.arrived + left
-        self._deadline_timer = self.node.loop.later(left, self._time_up)
+        self._deadline_timer = self.node.loop.call_later(left, self._time_up)
         self._grant.asked()
         self.go_on()
 
@@ -159,7 +159,8 @@
     def _set_attempt_timer(self, wait_s):
         if self._attempt_timer is not None:
             self._attempt_timer.cancel()
-        self._attempt_timer = self.node.loop.later(wait_s, self._attempt_silent)
+        self._attempt_timer = self.node.loop.call_later(wait_s,
+                                                        self._attempt_silent)
 
     def _attempt_silent(self):
         # A replica that hangs, or a channel that something between the ends
@@ -289,7 +290,7 @@
         if not failure.sent:
             self.attempts.not_reached()
             self.restart()
-        elif failure.broke:
+        elif failure.connection_lost:
             run = crashes.Run(self.digest,
                               attempt.began,
                               attempt.first_at,
--- a/gorsefall/relay/fleet.py
+++ b/gorsefall/relay/fleet.py
@@ -66,7 +66,7 @@
         cap = max(2, int(service.max_connections * CONNECTION_SHARE))
         self.pool = outbound.Pool(loop,
                                   record.addr,
-                                  cap=cap,
+                                  max_size=cap,
                                   connect_timeout_s=CONNECT_TIMEOUT_S)
 
     def written(self, now):
@@ -259,7 +259,7 @@
         if self._away:
             self._away = False
             self._doubt_until = now + ABSENT_S
-            self._loop.later(ABSENT_S, self._settle)
+            self._loop.call_later(ABSENT_S, self._settle)
 
     def _settle(self):
         if self._away:
@@ -296,7 +296,7 @@
         live = [
             r for r in self.of(service) if r.record.id not in exclude and
             not r.spoilt and r.record.status is model.ReplicaStatus.READY and
-            not r.pool.full() and r.limit.allows(now, urgent=urgent)
+            not r.pool.is_full() and r.limit.allows(now, urgent=urgent)
         ]
         return [r for r in live if not r.doubtful and r.ended_at is None
                ] or live
--- a/gorsefall/relay/inbound.py
+++ b/gorsefall/relay/inbound.py
@@ -108,7 +108,7 @@
     @property
     def sending(self):
         """Whether answer bytes wait for the caller to take them."""
-        return bool(self._conn.unsent)
+        return bool(self._conn.unsent_bytes)
 
     def on_connected(self):
         """See ``tcp.Connection``; callers connect to us."""
@@ -143,7 +143,8 @@
     # -- reading ---------------------------------------------------------------
 
     def _advance(self):
-        while (not self._answering and not self._closing and self._conn.open):
+        while (not self._answering and not self._closing and
+               self._conn.is_open):
             event = self._h11.next_event()
             if event is h11.NEED_DATA:
                 if self._h11.they_are_waiting_for_100_continue:
@@ -193,7 +194,7 @@
         self._body = digests.Body()
         self._answering = True
         self._cancel_timer()
-        fields = headers.read(head.headers.raw_items())
+        fields = headers.from_items(head.headers.raw_items())
         exchange = self._server.begin(head.method, head.target, fields, body,
                                       Reply(self))
         if self._answering:
@@ -235,14 +236,14 @@
 
     def keeps_up(self):
         """Returns whether the caller reads as fast as it is sent to."""
-        return self._conn.unsent < MAX_PENDING_BYTES
+        return self._conn.unsent_bytes < MAX_PENDING_BYTES
 
     def end(self):
         """Ends the answer; reads the next request or closes."""
         self._conn.write(self._h11.send(h11.EndOfMessage()))
         self._answering = False
         self._exchange = None
-        if not self._conn.open:
+        if not self._conn.is_open:
             return
         # In a shutdown an answer that began before it announced no close. A
         # request that its caller sends next could not be finished in time;
@@ -251,18 +252,18 @@
         if (last or self._closing or self._h11.our_state is not h11.DONE or
                 self._h11.their_state is not h11.DONE):
             self._closing = True
-            if not self._conn.unsent:
+            if not self._conn.unsent_bytes:
                 self.close()
             return
         self._h11.start_next_cycle()
         self._expect(self._limits.idle_timeout_s)
         self._conn.resume()
         if self._h11.trailing_data[0]:
-            self._loop.later(0, self._resume)
+            self._loop.call_later(0, self._resume)
 
     def _resume(self):
         try:
-            if self._conn.open:
+            if self._conn.is_open:
                 self._advance()
         except h11.RemoteProtocolError as exc:
             self._reject(exc)
@@ -295,7 +296,7 @@
 
     def _expect(self, timeout_s):
         self._cancel_timer()
-        self._timer = self._loop.later(timeout_s, self._quiet)
+        self._timer = self._loop.call_later(timeout_s, self._quiet)
 
     def _cancel_timer(self):
         if self._timer is not None:
--- a/gorsefall/relay/node.py
+++ b/gorsefall/relay/node.py
@@ -127,7 +127,7 @@
         self._remembered.start(
             lambda: self._reads.reads,
             self._peers.heartbeat_s if self._peers else lambda: 0.0)
-        self.loop.later(SETTINGS_POLL_S, self._look_at_settings)
+        self.loop.call_later(SETTINGS_POLL_S, self._look_at_settings)
         self.log.info('started',
                       zone=self.cfg.zone,
                       callers=self.cfg.callers,
@@ -266,7 +266,7 @@
         return stat.st_mtime_ns, stat.st_size, stat.st_ino
 
     def _look_at_settings(self):
-        self.loop.later(SETTINGS_POLL_S, self._look_at_settings)
+        self.loop.call_later(SETTINGS_POLL_S, self._look_at_settings)
         stamp = self._settings_stamp()
         if stamp != self._settings_seen:
             self._settings_seen = stamp
@@ -310,7 +310,7 @@
 
     def stopping(self):
         """See ``daemon.Daemon``."""
-        self.loop.later(LAME_DUCK_S, self._refuse_channels)
+        self.loop.call_later(LAME_DUCK_S, self._refuse_channels)
 
     def _refuse_channels(self):
         # A request taken late may outlast the grace time and be cut. A
@@ -330,7 +330,7 @@
         if self.shutdown.over(now, self.under_way or self._callers.sending()):
             self._finish()
             return
-        self.loop.later(STOP_POLL_S, self._check_drained)
+        self.loop.call_later(STOP_POLL_S, self._check_drained)
 
     def _finish(self):
         # From here to the exit nothing more may be read: a request that is
@@ -348,6 +348,6 @@
     """
     node = Node(path, adapter)
     signal.signal(signal.SIGHUP,
-                  lambda signo, stack: node.loop.later(0, node._reload))
+                  lambda signo, stack: node.loop.call_later(0, node._reload))
     node.start()
     node.run()
--- a/gorsefall/relay/peers.py
+++ b/gorsefall/relay/peers.py
@@ -113,7 +113,7 @@
             self._due.cancel()
         self._due_at = when
         delay_s = max(0.0, when - time.monotonic())
-        self._due = self._loop.later(delay_s, self._speak)
+        self._due = self._loop.call_later(delay_s, self._speak)
 
     def _speak(self):
         now = time.monotonic()
@@ -160,7 +160,7 @@
 
     def _told_of(self, hosts, now):
         for host in hosts:
-            if host != self._host and datagrams.is_host(host):
+            if host != self._host and datagrams.is_ipv4_address(host):
                 self._view.members.told_of(host, now)
 
     def _received(self, data, host):
--- a/gorsefall/relay/remembered.py
+++ b/gorsefall/relay/remembered.py
@@ -104,11 +104,11 @@
         def due():
             wait_s = started + HEARTBEATS * heartbeat_s() - self._loop.now
             if wait_s > 0:
-                self._loop.later(wait_s, due)
+                self._loop.call_later(wait_s, due)
             elif reads() and not self._crashes.suspects.summary:
                 self._read('')
 
-        self._loop.later(READ_AFTER_S, due)
+        self._loop.call_later(READ_AFTER_S, due)
 
     def _read(self, after):
         self._source.newest(
@@ -118,7 +118,7 @@
     def _listed(self, after, newest, exc):
         if exc is not None:
             self._log.warning('not_read', error=str(exc))
-            self._loop.later(RETRY_S, lambda: self._read(after))
+            self._loop.call_later(RETRY_S, lambda: self._read(after))
             return
         for record in newest.records:
             self._take(record)
@@ -156,7 +156,7 @@
             self._log.warning('not_written',
                               digest=digests.shown(digest),
                               error=str(exc))
-            self._loop.later(RETRY_S, self._again)
+            self._loop.call_later(RETRY_S, self._again)
             return
         if self._due.get(digest) == value:
             del self._due[digest]
--- a/gorsefall/relay/sending.py
+++ b/gorsefall/relay/sending.py
@@ -81,13 +81,13 @@
         self._pulse.paused()
         self.channel.pause()
 
-    def is_mine(self, status, fields):
+    def matches_response(self, status, fields):
         """See ``outbound.Call``."""
         self._answer = self._exchange.node.dialect.decode_answer(status, fields)
         return self._answer.request_id in (None, self._exchange.req.id)
 
     def on_head(self, status, fields):
-        """See ``outbound.Call``; ``is_mine`` has decoded it."""
+        """See ``outbound.Call``; ``matches_response`` has decoded it."""
         load = self._answer.load
         if load is not None:
             self._exchange.node.load_told(self.replica, load)
--- a/gorsefall/relay/sharing.py
+++ b/gorsefall/relay/sharing.py
@@ -130,7 +130,8 @@
 
     def start(self):
         """Begins to ask once the others had time to speak."""
-        self._loop.later(self._ask_s * self._rng.uniform(*SPREAD), self._round)
+        self._loop.call_later(self._ask_s * self._rng.uniform(*SPREAD),
+                              self._round)
 
     def follow(self, topics, store, ask_s):
         """Adopts the followers of a store.
@@ -154,7 +155,8 @@
     # -- whether to read -------------------------------------------------------
 
     def _round(self):
-        self._loop.later(self._ask_s * self._rng.uniform(*SPREAD), self._round)
+        self._loop.call_later(self._ask_s * self._rng.uniform(*SPREAD),
+                              self._round)
         others = readers.able(self._others())
         # Where nobody reaches the store, those try who would read.
         contends = self.able() or not any(c.able for c in others)
@@ -214,7 +216,8 @@
             return
         number = self._rng.getrandbits(63)
         self._open = _Question(number, freshness.clock(), tuple(hosts))
-        self._loop.later(ANSWER_S, functools.partial(self._unanswered, number))
+        self._loop.call_later(ANSWER_S,
+                              functools.partial(self._unanswered, number))
         cut_off = any(t.follower.unreached for t in self._topics.values())
         self._send(messages.Ask(number, self._store, offsets, cut_off),
                    hosts[0])
@@ -239,7 +242,7 @@
         # answered, it is the store that is away, and time does not press.
         self._own_read_due = True
         within_s = FALL_BACK_S if self._unheard else AWAY_S
-        self._loop.later(self._rng.uniform(0.0, within_s), self._read_old)
+        self._loop.call_later(self._rng.uniform(0.0, within_s), self._read_old)
 
     def _read_old(self):
         if self.leads or not self._in_vain:
@@ -251,8 +254,8 @@
             if followed.follower.age_s() > self._ask_s:
                 followed.follower.read_once()
         pause_s = self._ask_s if self.able() else OWN_PAUSE_S
-        self._loop.later(pause_s * self._rng.uniform(*SPREAD),
-                         self._may_read_again)
+        self._loop.call_later(pause_s * self._rng.uniform(*SPREAD),
+                              self._may_read_again)
 
     def _may_read_again(self):
         self._own_read_due = False
@@ -330,8 +333,8 @@
             for name, end in message.ends.items())
         if missed and not self._hinted:
             self._hinted = True
-            self._loop.later(self._rng.uniform(0.0, HINT_S),
-                             functools.partial(self._follow_hint, host))
+            self._loop.call_later(self._rng.uniform(0.0, HINT_S),
+                                  functools.partial(self._follow_hint, host))
 
     def _follow_hint(self, host):
         self._hinted = False
--- a/gorsefall/relay/topic.py
+++ b/gorsefall/relay/topic.py
@@ -346,8 +346,8 @@
         if not self._leads:
             self._idle = True
         elif self.pace.pause_s:
-            self._loop.later(self.pace.pause_s,
-                             functools.partial(self._resume, self._turn))
+            self._loop.call_later(self.pace.pause_s,
+                                  functools.partial(self._resume, self._turn))
         else:
             self._read()
 
@@ -403,7 +403,8 @@
             return
         pause = min(RETRY_MAX_S, random.uniform(*RETRY_S) * self._failures)
         turn = self._turn
-        self._loop.later(pause, lambda: again() if turn == self._turn else None)
+        self._loop.call_later(pause, lambda: again()
+                              if turn == self._turn else None)
 
 
 class Spoilt:
--- a/tests/entries.py
+++ b/tests/entries.py
@@ -37,7 +37,8 @@
             return
         delays = {'late': [3.0], 'twice': [0.002, 5.0], 'slow': [0.2]}
         for delay_s in delays.get(fate, [0.002]):
-            self._loop.later(delay_s, lambda: self._arrive(source, data, host))
+            self._loop.call_later(delay_s,
+                                  lambda: self._arrive(source, data, host))
 
     def _arrive(self, source, data, host):
         if source in self.cut or host in self.cut:
@@ -59,15 +60,15 @@
     def now(self):
         return self._loop.now
 
-    def later(self, delay_s, callback):
-        self._loop.later(delay_s, lambda: self.call(callback))
+    def call_later(self, delay_s, callback):
+        self._loop.call_later(delay_s, lambda: self.call(callback))
 
     def call(self, callback):
         if self.dead:
             return
         if self.now < self.frozen_until:
-            self._loop.later(self.frozen_until - self.now,
-                             lambda: self.call(callback))
+            self._loop.call_later(self.frozen_until - self.now,
+                                  lambda: self.call(callback))
             return
         callback()
 
@@ -91,7 +92,7 @@
         self.calls += 1
         if self.away:
             error = errors.StoreError('turned away')
-            self._loop.later(0.004, lambda: done(None, error))
+            self._loop.call_later(0.004, lambda: done(None, error))
             return
         call(*args,
              lambda result, exc: self._loop.call(lambda: done(result, exc)))
--- a/tests/stores.py
+++ b/tests/stores.py
@@ -33,17 +33,17 @@
         if fault == 'late':
             # True when sent, on its way for long.
             result = make()
-            self._loop.later(silence_s * 0.9, lambda: done(result, None))
+            self._loop.call_later(silence_s * 0.9, lambda: done(result, None))
         elif fault == 'long':
             # Its bytes come one after the other, so it is never silent.
             result = make()
-            self._loop.later(LONG_S, lambda: done(result, None))
+            self._loop.call_later(LONG_S, lambda: done(result, None))
         elif fault in ('lost', 'busy'):
             after = silence_s if fault == 'lost' else 0.004
-            self._loop.later(after,
-                             lambda: done(None, errors.StoreError(fault)))
+            self._loop.call_later(after,
+                                  lambda: done(None, errors.StoreError(fault)))
         else:
-            self._loop.later(0.004, lambda: done(make(), None))
+            self._loop.call_later(0.004, lambda: done(make(), None))
 
     def newest(self, after, silence_s, done):
 
@@ -57,12 +57,12 @@
 
     def read(self, offset, wait_s, most_kb, silence_s, done):
         if wait_s and offset >= len(self.records):
-            self._loop.later(
+            self._loop.call_later(
                 wait_s,
                 lambda: self.read(offset, 0.0, most_kb, silence_s, done))
             return
         if offset < self.first:
-            self._loop.later(
+            self._loop.call_later(
                 0.004,
                 lambda: done(None, errors.StoreError('gone', forgotten=True)))
             return
--- a/tests/test_announced.py
+++ b/tests/test_announced.py
@@ -123,7 +123,7 @@
     def __init__(self):
         self.now = 100.0
 
-    def later(self, delay_s, callback):
+    def call_later(self, delay_s, callback):
         pass
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,7 +22,7 @@
     def __init__(self):
         self.due = []
 
-    def later(self, delay_s, callback):
+    def call_later(self, delay_s, callback):
         self.due.append(callback)
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -36,7 +36,7 @@
                           on_data=out.data,
                           on_end=out.ends.append,
                           idle_s=idle_s)
-        call.begin(links.Links(loop).pool(peer.addr))
+        call.begin(links.ConnectionPools(loop).pool(peer.addr))
         yield loop, call, out
     peer.close()
 
@@ -96,7 +96,7 @@
                           on_data=None,
                           on_end=out.ends.append,
                           idle_s=2.0)
-        call.begin(links.Links(loop).pool(peer.addr))
+        call.begin(links.ConnectionPools(loop).pool(peer.addr))
         assert not out.ends
         peers.run(loop, lambda: out.ends)
         assert not call.sent
@@ -120,5 +120,5 @@
         raise ValueError('once')
 
     with peers.loop() as loop:
-        loop.every(0.005, task)
+        loop.call_every(0.005, task)
         peers.run(loop, lambda: len(calls) > 2)
--- a/tests/test_outbound.py
+++ b/tests/test_outbound.py
@@ -53,8 +53,8 @@
         self.ended = False
         self.failure = None
 
-    def is_mine(self, status, fields):
-        return fields.first[b'rid'] == self.rid
+    def matches_response(self, status, fields):
+        return fields.by_name[b'rid'] == self.rid
 
     def on_data(self, data):
         self.got += data
@@ -80,7 +80,7 @@
     peer = peers.ScriptedPeer(
         [script(f, rid) for f, rid in zip(faults, rids, strict=True)])
     with peers.loop() as loop:
-        pool = outbound.Pool(loop, peer.addr, cap=4, connect_timeout_s=5.0)
+        pool = outbound.Pool(loop, peer.addr, max_size=4, connect_timeout_s=5.0)
         for fault, rid in zip(faults, rids, strict=True):
             call = Call(rid)
             pool.send(call)
@@ -101,7 +101,7 @@
     peer.close()
     with peers.loop() as loop:
         call = Call('r')
-        pool = outbound.Pool(loop, peer.addr, cap=1, connect_timeout_s=5.0)
+        pool = outbound.Pool(loop, peer.addr, max_size=1, connect_timeout_s=5.0)
         pool.send(call)
         peers.run(loop, lambda: call.failure)
         assert not call.failure.sent
@@ -119,7 +119,9 @@
         other.connect_ex(sock.getsockname())
     with peers.loop() as loop:
         call = Call('r')
-        outbound.Pool(loop, sock.getsockname(), cap=1,
+        outbound.Pool(loop,
+                      sock.getsockname(),
+                      max_size=1,
                       connect_timeout_s=0.2).send(call)
         peers.run(loop, lambda: call.failure)
         assert not call.failure.sent
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -65,13 +65,13 @@
 class _Loop:
     """Timers that never come due."""
 
-    def later(self, delay_s, callback):
+    def call_later(self, delay_s, callback):
         return _Timer(delay_s)
 
     def watch(self, sock, handler, *, read, write):
         pass
 
-    def forget(self, sock):
+    def unwatch(self, sock):
         pass
 
 
--- a/tests/test_revocation.py
+++ b/tests/test_revocation.py
@@ -51,7 +51,7 @@
                               method=b'GET',
                               target=b'/x',
                               host='h',
-                              headers=headers.read([]),
+                              headers=headers.from_items([]),
                               key=key)
     return grant.Grant(entry, req)
 
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -41,7 +41,7 @@
                                method=b'GET',
                                target=target.encode(),
                                host=host,
-                               headers=headers.read([]))
+                               headers=headers.from_items([]))
 
 
 @given(_PREFIXES, st.sampled_from(['h', 'i', 'j']), _SEGMENTS,
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -145,10 +145,10 @@
     """Replicas that go on crashing as each entry finds out by itself."""
     site = crashing.Site(entries, replicas, seed)
     for i in range(40):
-        site.loop.later(1.0 + 0.45 * i,
-                        lambda: site.ask(b'guilty', 0.0, guilty=True))
+        site.loop.call_later(1.0 + 0.45 * i,
+                             lambda: site.ask(b'guilty', 0.0, guilty=True))
     for i in range(400):
-        site.loop.later(0.05 * i, lambda i=i: site.ask(b'%d' % i, 0.4))
+        site.loop.call_later(0.05 * i, lambda i=i: site.ask(b'%d' % i, 0.4))
     site.loop.run(25.0)
     late = [
         at for at in site.guilty_runs if at > site.guilty_runs[2] + CONTACT_S
@@ -168,9 +168,9 @@
             site.crash(replica)
 
     for at in (3.0, 3.4, 3.8):
-        site.loop.later(at, burst)
+        site.loop.call_later(at, burst)
     for i in range(600):
-        site.loop.later(0.01 * i, lambda i=i: site.ask(b'%d' % i, 0.5))
+        site.loop.call_later(0.01 * i, lambda i=i: site.ask(b'%d' % i, 0.5))
     site.loop.run(20.0)
     blamed = [e.crashes.suspects.blamed for e in site.entries]
     assert not any(blamed), blamed
@@ -182,7 +182,8 @@
     """A guilty request sent again by each entry that is replaced."""
     site = crashing.Site(9, 6, 5)
     for i in range(8):
-        site.loop.later(0.5 * i, lambda: site.ask(b'guilty', 0.0, guilty=True))
+        site.loop.call_later(0.5 * i,
+                             lambda: site.ask(b'guilty', 0.0, guilty=True))
     site.loop.run(10.0)
     site.entries[0].start()
     site.loop.run(10.0 + 3 * site.heartbeat_s + crashing.crashes.ASK_PAUSE_S)
@@ -195,8 +196,8 @@
     site = crashing.Site(9, 8, copies)
     for i in range(8):
         for _ in range(copies):
-            site.loop.later(1.0 + 4.0 * i,
-                            lambda: site.ask(b'guilty', 0.0, guilty=True))
+            site.loop.call_later(1.0 + 4.0 * i,
+                                 lambda: site.ask(b'guilty', 0.0, guilty=True))
     site.loop.run(40.0)
     late = [
         at for at in site.guilty_runs if at > site.guilty_runs[2] + CONTACT_S
