--- a/bench/peers_cost.py
+++ b/bench/peers_cost.py
@@ -49,7 +49,7 @@
         target.sent(2900)
         if i < uses:
             speaker.prompt_sent(target, parts, 0.0)
-    hosts = [f'10.1.0.{i}' for i in range(peers.TOLD)]
+    hosts = [f'10.1.0.{i}' for i in range(peers.MAX_HOSTS_PER_MESSAGE)]
     sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     receiver = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     receiver.bind(('127.0.0.1', 0))
@@ -81,7 +81,7 @@
     for entries, replicas, busy, uses in SIZES:
         size, make_ms, each_ms = _measure(entries, replicas, busy, uses)
         others = entries - 1
-        pause_s = max(peers.PERIOD_S, others / peers.MESSAGES_PER_S)
+        pause_s = max(peers.MIN_PAUSE_S, others / peers.MAX_MESSAGES_PER_S)
         share = (make_ms + others * each_ms) / pause_s / 1000
         print(entries, replicas, size, round(make_ms, 4), round(each_ms, 4),
               round(pause_s, 2), round(others / pause_s * size / 1000, 1),
--- a/bench/table_cost.py
+++ b/bench/table_cost.py
@@ -60,7 +60,7 @@
     spent = []
     for _ in range(ROUNDS):
         before = time.process_time()
-        records.Records().table(record)
+        records.Records().decode_table(record)
         spent.append(time.process_time() - before)
     return min(spent) * 1000
 
--- a/gorsefall/emulator/crashing.py
+++ b/gorsefall/emulator/crashing.py
@@ -1,8 +1,8 @@
 """Requests that crash replicas, and good ones beside them, before many entries.
 
-Each entry has its own ``relay.crashes.Crashes``; what they tell each other is
-late and at times lost. Both errors are counted: runs of a guilty request that
-are too many, and good requests that are refused.
+Each entry has its own ``relay.crashes.CrashTracker``; what they tell each
+other is late and at times lost. Both errors are counted: runs of a guilty
+request that are too many, and good requests that are refused.
 """
 
 import collections
@@ -15,9 +15,9 @@
 from gorsefall.emulator import clock
 from gorsefall.policy import membership
 from gorsefall.relay import crashes
-from gorsefall.relay import ends
 from gorsefall.relay import model
 from gorsefall.relay import peers
+from gorsefall.relay import prober
 
 WAY_S = 0.002
 """Time of a message, or of a look at a replica, s."""
@@ -39,14 +39,14 @@
 class Replica:
     """One start of a replica; has what ``crashes`` sees of one."""
     record: object
-    doubtful: bool = False
-    ended_at: float | None = None
+    record_lapsed: bool = False
+    exited_at: float | None = None
     up: bool = True
     runs: set = dataclasses.field(default_factory=set)
 
 
 class Entry:
-    """An entry; is the ``peers`` and the ``ends`` of its ``Crashes``."""
+    """An entry; is the ``peers`` and the ``prober`` of its ``CrashTracker``."""
 
     def __init__(self, site, number):
         self.site = site
@@ -55,30 +55,31 @@
 
     def start(self):
         """Starts a process, which knows nothing."""
-        self.crashes = crashes.Crashes(self.site.loop, self, self.site,
-                                       lambda: self.site.loop.now)
+        self.crashes = crashes.CrashTracker(self.site.loop, self, self.site,
+                                            lambda: self.site.loop.now)
         self.crashes.start(self)
 
-    def look(self, replica, done):
-        """See ``ends.Ends``."""
-        verdict = ends.Verdict.ALIVE if replica.up else ends.Verdict.ENDED
+    def probe(self, replica, done):
+        """See ``prober.ReplicaProber``."""
+        verdict = prober.Verdict.ALIVE if replica.up else prober.Verdict.EXITED
         self.site.loop.later(WAY_S, lambda: done(verdict))
 
     def send_all(self, message):
         """See ``peers.Peers``."""
         for other in self.site.entries:
             if other is not self:
-                self._send(lambda entry: entry.crashes.take(message.sightings),
-                           other)
+                self._send(
+                    lambda entry: entry.crashes.merge_reports(message.sightings
+                                                             ), other)
 
     def send(self, message, host):
         """See ``peers.Peers``; a host is an entry's number."""
         answer = getattr(message, 'sightings', None)
         if answer is None:
-            self._send(lambda entry: entry.crashes.asked(self.number),
+            self._send(lambda entry: entry.crashes.send_suspects(self.number),
                        self.site.entries[host])
         else:
-            self._send(lambda entry: entry.crashes.take(answer),
+            self._send(lambda entry: entry.crashes.merge_reports(answer),
                        self.site.entries[host])
 
     def speak(self):
@@ -86,15 +87,15 @@
         status = membership.Status(f'e{self.number}',
                                    1,
                                    1,
-                                   sightings=self.crashes.told(
+                                   sightings=self.crashes.recent_reports(
                                        self.site.loop.now),
                                    suspects=self.crashes.suspects.summary)
         for other in self.site.entries:
             if other is not self:
                 self._send(
-                    lambda entry: entry.crashes.heard(status, self.number),
-                    other)
-        spread = self.site.rng.uniform(*peers.SPREAD)
+                    lambda entry: entry.crashes.handle_status(
+                        status, self.number), other)
+        spread = self.site.rng.uniform(*peers.PAUSE_JITTER)
         self.site.loop.later(self.site.heartbeat_s * spread, self.speak)
 
     def _send(self, arrive, other):
@@ -120,7 +121,7 @@
         """Sends it to a replica, unless it is blocked."""
         known = self._entry.crashes
         try:
-            if not known.begin(self._digest, self):
+            if not known.try_begin_run(self._digest, self):
                 return
         except errors.CrashesReplicasError:
             self._end('refused')
@@ -141,17 +142,17 @@
             self._site.crash(replica)
             return
         replica.runs.discard(self)
-        self._entry.crashes.ran(self._digest)
+        self._entry.crashes.record_completed_run(self._digest)
         self._end('served')
 
     def broke(self, replica):
         """Called when its replica ended."""
         known = self._entry.crashes
-        run = crashes.Run(self._digest,
-                          self._sent_at,
-                          None,
-                          again=self._left < TRIES - 1)
-        known.broke(replica, run, self._after)
+        run = crashes.BrokenRun(self._digest,
+                                self._sent_at,
+                                None,
+                                after_broken_run=self._left < TRIES - 1)
+        known.handle_broken_run(replica, run, self._after)
 
     def _after(self):
         held = self._entry.crashes.suspects.held(self._digest)
@@ -161,7 +162,7 @@
             self._end('failed')
 
     def _end(self, outcome):
-        self._entry.crashes.ended(self._digest, self)
+        self._entry.crashes.end_run(self._digest, self)
         if outcome == 'failed' and self._back:
             self._site.loop.later(RETURN_S, self._return)
         elif not self._guilty:
@@ -188,8 +189,8 @@
         self.loop = clock.Loop()
         self.rng = random.Random(seed)
         self.lost = lost
-        self.heartbeat_s = max(peers.HEARTBEAT_S,
-                               entries / peers.MESSAGES_PER_S)
+        self.heartbeat_s = max(peers.MAX_PAUSE_S,
+                               entries / peers.MAX_MESSAGES_PER_S)
         self.replicas = {}
         self.guilty_runs = []
         self.good = collections.Counter()
@@ -207,9 +208,9 @@
                                        status=model.ReplicaStatus.READY)
         self.replicas[name] = Replica(record)
 
-    def ended(self, replica, at):
+    def record_exit(self, replica, at):
         """See ``fleet.Fleet``."""
-        replica.ended_at = replica.ended_at or at
+        replica.exited_at = replica.exited_at or at
 
     def sound(self):
         """Returns the replicas that are up."""
--- a/gorsefall/relay/changes.py
+++ b/gorsefall/relay/changes.py
@@ -7,19 +7,19 @@
 
 from gorsefall import errors
 
-KEPT_BYTES = 65536
+MAX_RETAINED_BYTES = 65536
 """Most bytes of changes kept, packed: some hundred replicas' records and a
 configuration."""
 
-TOLD_BYTES = 6000
+MAX_SENT_BYTES = 6000
 """Most bytes of changes told at once, packed. An entry tells forty others,
 over a link that carries its callers' streams too; what is larger each reads
 from the store for itself."""
 
-CUT_OFF_BYTES = 48000
+MAX_SENT_BYTES_CUT_OFF = 48000
 """The same for an entry that does not reach the store; fits in a datagram."""
 
-UNPACKED_BYTES = 1 << 22
+MAX_UNPACKED_BYTES = 1 << 22
 """Longest record that is unpacked, bytes."""
 
 
@@ -36,7 +36,7 @@
     key: str
     value: bytes
     offset: int
-    whole: bool = True
+    well_formed: bool = True
 
 
 class Change(typing.NamedTuple):
@@ -51,7 +51,7 @@
     key: str
     packed: bytes
     offset: int
-    whole: bool
+    well_formed: bool
 
     @property
     def size(self):
@@ -62,7 +62,7 @@
 def pack(record):
     """Returns the ``Change`` of a ``Record``."""
     return Change(record.key, zlib.compress(record.value), record.offset,
-                  record.whole)
+                  record.well_formed)
 
 
 def unpack(change):
@@ -73,15 +73,15 @@
     """
     stream = zlib.decompressobj()
     try:
-        value = stream.decompress(change.packed, UNPACKED_BYTES)
+        value = stream.decompress(change.packed, MAX_UNPACKED_BYTES)
     except zlib.error as exc:
         raise errors.RecordError(f'{change.key}: {exc}') from exc
     if not stream.eof:
         raise errors.RecordError(f'{change.key}: too long, or cut short')
-    return Record(change.key, value, change.offset, change.whole)
+    return Record(change.key, value, change.offset, change.well_formed)
 
 
-class News(msgspec.Struct, frozen=True, array_like=True):
+class ChangeSet(msgspec.Struct, frozen=True, array_like=True):
     """What an entry knows of a topic that another one may have missed.
 
     Attributes:
@@ -94,10 +94,10 @@
     age_s: typing.Annotated[float, msgspec.Meta(ge=0.0)]
     end: typing.Annotated[int, msgspec.Meta(ge=0)]
     changes: tuple[Change, ...] = ()
-    whole: bool = True
+    complete: bool = True
 
 
-class Recent:
+class RecentChanges:
     """The newest change of each key from some offset on, as far as kept."""
 
     def __init__(self):
@@ -105,7 +105,7 @@
         self._since = 0
         self._size = 0
 
-    def restart(self, offset):
+    def reset(self, offset):
         """Forgets all; nothing is known of changes before ``offset``."""
         self._changes.clear()
         self._size = 0
@@ -117,12 +117,12 @@
         earlier = self._changes.pop(record.key, None)
         self._size += change.size - (earlier.size if earlier else 0)
         self._changes[record.key] = change
-        while self._size > KEPT_BYTES:
+        while self._size > MAX_RETAINED_BYTES:
             oldest = self._changes.pop(next(iter(self._changes)))
             self._size -= oldest.size
             self._since = oldest.offset + 1
 
-    def news(self, offset, age_s, end, most_bytes=TOLD_BYTES):
+    def changes_since(self, offset, age_s, end, most_bytes=MAX_SENT_BYTES):
         """Returns the ``News`` for an entry that knows all before ``offset``.
 
         Args:
@@ -133,5 +133,5 @@
         """
         changes = tuple(c for c in self._changes.values() if c.offset >= offset)
         if (offset < self._since or sum(c.size for c in changes) > most_bytes):
-            return News(age_s, end, whole=False)
-        return News(age_s, end, changes)
+            return ChangeSet(age_s, end, complete=False)
+        return ChangeSet(age_s, end, changes)
--- a/gorsefall/relay/copies.py
+++ b/gorsefall/relay/copies.py
@@ -3,7 +3,7 @@
 import time
 
 from gorsefall.policy import placement
-from gorsefall.relay import ends
+from gorsefall.relay import prober
 
 
 class Copy:
@@ -13,7 +13,7 @@
         """Creates a copy that is not ordered yet.
 
         Args:
-            replica_ends: The ``ends.Ends``.
+            replica_ends: The ``prober.ReplicaProber``.
             replicas: The ``fleet.Fleet``.
         """
         self._ends = replica_ends
@@ -36,7 +36,7 @@
         Returns:
             Its ``(host, port)``, or None when there is none.
         """
-        target = placement.backup([r.target for r in candidates], request,
+        target = placement.backup([r.view for r in candidates], request,
                                   time.monotonic())
         if target is None:
             self._holder = None
@@ -49,12 +49,12 @@
         if self._looking is not None:
             return
         self._looking = done
-        self._ends.look(replica, self._looked)
+        self._ends.probe(replica, self._looked)
 
     def _looked(self, verdict):
         done, self._looking = self._looking, None
         if done is not None:
-            done(verdict is ends.Verdict.ALIVE)
+            done(verdict is prober.Verdict.ALIVE)
 
     def take(self):
         """Returns the ``fleet.Replica`` with the copy, or None.
--- a/gorsefall/relay/crashes.py
+++ b/gorsefall/relay/crashes.py
@@ -11,24 +11,24 @@
 from gorsefall import metrics
 from gorsefall.policy import membership
 from gorsefall.policy import suspects
-from gorsefall.relay import ends
 from gorsefall.relay import messages
 from gorsefall.relay import model
+from gorsefall.relay import prober
 
-TOLD_S = 6.0
+REPORT_WINDOW_S = 6.0
 """Time for which a message tells of what was seen, s: twice and more to each of
 hundreds of entries."""
 
-MAX_TOLD = 32
+MAX_REPORTS = 32
 """Sightings told of in a message, the last ones: 2 KB."""
 
-ASK_PAUSE_S = 1.0
+MIN_QUERY_PAUSE_S = 1.0
 """Pause between two questions for what others know, s."""
 
-EXPIRE_S = 30.0
+EXPIRY_PERIOD_S = 30.0
 
 
-class Run(typing.NamedTuple):
+class BrokenRun(typing.NamedTuple):
     """A run that broke.
 
     Attributes:
@@ -39,21 +39,22 @@
     """
     digest: bytes
     sent_at: float
-    first_at: float | None
-    again: bool = False
+    first_event_at: float | None
+    after_broken_run: bool = False
 
     def weight(self, now):
         """Returns the ``suspects.Weight`` of a crash that cut it now."""
-        if self.again and now - self.sent_at < suspects.TOGETHER_S:
+        if self.after_broken_run and now - self.sent_at < suspects.TOGETHER_S:
             # It was sent here as its last replica ended; one cause may have
             # taken both.
             return suspects.Weight.OLD
-        if self.first_at is None or now - self.first_at < suspects.YOUNG_S:
+        if (self.first_event_at is None or
+                now - self.first_event_at < suspects.YOUNG_S):
             return suspects.Weight.YOUNG
         return suspects.Weight.OLD
 
 
-class Crashes:
+class CrashTracker:
     """What this entry knows of requests that crash replicas.
 
     Attributes:
@@ -67,7 +68,7 @@
 
         Args:
             loop: The ``reactor.Reactor``.
-            replica_ends: The ``ends.Ends``.
+            replica_ends: The ``prober.ReplicaProber``.
             fleet: The ``fleet.Fleet``.
             clock: Returns the time, s (monotonic).
         """
@@ -76,21 +77,21 @@
         self._fleet = fleet
         self._clock = clock
         self._peers = None
-        self._told = collections.deque(maxlen=MAX_TOLD)
+        self._told = collections.deque(maxlen=MAX_REPORTS)
         self._asked_at = float('-inf')
         self._under_way = {}
         self._parked = collections.defaultdict(list)
         self._log = logs.get('crashes')
         self.suspects = suspects.Suspects()
-        self.on_blamed = self.on_cleared = lambda digest: None
+        self.on_poison_request = self.on_cleared = lambda digest: None
 
     def start(self, peers):
         """Begins to share with other entries, if there are ``peers``."""
         self._peers = peers
-        self._loop.later(EXPIRE_S, self._expire)
+        self._loop.later(EXPIRY_PERIOD_S, self._expire)
 
     def _expire(self):
-        self._loop.later(EXPIRE_S, self._expire)
+        self._loop.later(EXPIRY_PERIOD_S, self._expire)
         self.suspects.expire(self._clock())
 
     # -- before a send ---------------------------------------------------------
@@ -103,7 +104,7 @@
                 f'{len(ended)} replicas ended as they ran it: '
                 f'{", ".join(c.replica for c in ended)}')
 
-    def begin(self, digest, exchange):
+    def try_begin_run(self, digest, exchange):
         """Returns whether an exchange may send a request now.
 
         Of one that is held a run is under way at a time: several would take
@@ -123,7 +124,7 @@
         self._parked[digest].append(exchange)
         return False
 
-    def ended(self, digest, exchange):
+    def end_run(self, digest, exchange):
         """Notes that an exchange is over."""
         if self._under_way.get(digest) is exchange:
             del self._under_way[digest]
@@ -132,7 +133,7 @@
 
     # -- what is seen here -----------------------------------------------------
 
-    def broke(self, replica, run, go_on):
+    def handle_broken_run(self, replica, run, go_on):
         """Finds out whether a ``fleet.Replica`` crashed under a ``Run``.
 
         Where a replica crashed under the request before, whether this one
@@ -147,7 +148,7 @@
         waits = self.suspects.weight(run.digest) and self._expected_up(replica)
         if self._expected_up(replica):
             known = go_on if waits else lambda: None
-            self._ends.look(
+            self._ends.probe(
                 replica, functools.partial(self._looked, replica, run, known))
         if not waits:
             go_on()
@@ -155,15 +156,15 @@
     def _expected_up(self, replica):
         """Whether its end would be a crash: it was not on its way out."""
         return (replica.record.status is model.ReplicaStatus.READY and
-                not replica.doubtful and
+                not replica.record_lapsed and
                 self._fleet.replicas.get(replica.record.id) is replica)
 
     def _looked(self, replica, run, done, verdict):
         now = self._clock()
-        if verdict is ends.Verdict.ENDED:
-            self._fleet.ended(replica, now)
+        if verdict is prober.Verdict.EXITED:
+            self._fleet.record_exit(replica, now)
             # What was sent after the end reached no process.
-            if run.sent_at < replica.ended_at:
+            if run.sent_at < replica.exited_at:
                 self._crashed(replica.record, run, now)
         done()
 
@@ -186,7 +187,7 @@
             self._tell_all(digest)
         if blocked and not before:
             self._note_blamed(digest)
-            self.on_blamed(digest)
+            self.on_poison_request(digest)
 
     def _note_blamed(self, digest):
         metrics.CRASHING.labels('blamed').inc()
@@ -196,7 +197,7 @@
             replicas=[c.replica for c in self.suspects.crashes(digest)],
             suspects=len(self.suspects))
 
-    def ran(self, digest):
+    def record_completed_run(self, digest):
         """Notes that a run came to its end."""
         if not self.suspects.weight(digest):
             return
@@ -211,9 +212,9 @@
 
     # -- what others see -------------------------------------------------------
 
-    def told(self, now):
+    def recent_reports(self, now):
         """Returns the ``membership.Sighting`` objects that a status tells."""
-        while self._told and self._told[0][0] < now - TOLD_S:
+        while self._told and self._told[0][0] < now - REPORT_WINDOW_S:
             self._told.popleft()
         return tuple(
             found for _, digest, crash in self._told
@@ -231,7 +232,7 @@
         return membership.Sighting(digest, _age_ms(seen.at, now), crash.replica,
                                    crash.born, int(seen.weight))
 
-    def sightings(self, digest):
+    def reports_of(self, digest):
         """Returns the ``membership.Sighting`` objects of a suspect, a list."""
         now = self._clock()
         crashes = self.suspects.known(digest).sightings
@@ -239,12 +240,12 @@
 
     def _tell_all(self, digest):
         if self._peers is not None:
-            sightings = tuple(self.sightings(digest))
+            sightings = tuple(self.reports_of(digest))
             self._peers.send_all(messages.Suspects(sightings))
 
-    def heard(self, status, host):
+    def handle_status(self, status, host):
         """Takes in what the ``membership.Status`` of another entry tells."""
-        self.take(status.sightings)
+        self.merge_reports(status.sightings)
         if status.suspects != self.suspects.summary:
             self._ask(host)
 
@@ -252,25 +253,26 @@
         # Both sides differ while news are on their way; whoever knows less
         # gains, and a question a second is no load.
         now = self._clock()
-        if now - self._asked_at >= ASK_PAUSE_S:
+        if now - self._asked_at >= MIN_QUERY_PAUSE_S:
             self._asked_at = now
             self._peers.send(messages.AskSuspects(), host)
 
-    def asked(self, host):
+    def send_suspects(self, host):
         """Answers another entry that asks what is known."""
         grave = sorted(self.suspects.grave(),
                        key=self.suspects.weight,
                        reverse=True)
         found = []
         for digest in grave:
-            found += self.sightings(digest)
-        self._peers.send(messages.Suspects(tuple(found[:2 * MAX_TOLD])), host)
+            found += self.reports_of(digest)
+        self._peers.send(messages.Suspects(tuple(found[:2 * MAX_REPORTS])),
+                         host)
 
-    def take(self, sightings):
+    def merge_reports(self, sightings):
         """Takes in ``membership.Sighting`` objects of others."""
         now = self._clock()
         before = set(self.suspects.blamed)
-        for seen in sightings[:4 * MAX_TOLD]:
+        for seen in sightings[:4 * MAX_REPORTS]:
             at = now - seen.age_ms / 1000
             if seen.replica:
                 self.suspects.crashed(seen.digest,
@@ -282,7 +284,7 @@
         for digest in set(self.suspects.blamed) - before:
             self._note_blamed(digest)
             if digest in own:
-                self.on_blamed(digest)
+                self.on_poison_request(digest)
 
 
 def _age_ms(at, now):
--- a/gorsefall/relay/remembered.py
+++ b/gorsefall/relay/crashstore.py
@@ -10,14 +10,14 @@
 from gorsefall.policy import membership
 from gorsefall.relay import topic
 
-READ_AFTER_S = 2.0
+READ_DELAY_S = 2.0
 """Time after the start until the store is read, s: by then another entry has
 told what it knows, and few entries read the store for all."""
 
-HEARTBEATS = 1.25
+READ_DELAY_HEARTBEATS = 1.25
 """The same in pauses between the messages of other entries, at least."""
 
-RETRY_S = 2.0
+RETRY_PAUSE_S = 2.0
 """Pause after a failed call, s."""
 
 
@@ -66,7 +66,7 @@
     return time.time_ns() // 1_000_000
 
 
-class Remembered:
+class CrashStore:
     """Writes blamed requests to a topic, and reads it once after a start.
 
     Entries tell each other; only where all of them started again does nobody
@@ -79,7 +79,7 @@
         Args:
             loop: The ``reactor.Reactor``.
             source: The ``topic.Source`` of the topic.
-            crashes: The ``crashes.Crashes`` to fill, and to write from.
+            crashes: The ``crashes.CrashTracker`` to fill, and to write from.
         """
         self._loop = loop
         self._source = source
@@ -87,7 +87,7 @@
         self._due = {}
         self._writing = False
         self._log = logs.get('remembered')
-        crashes.on_blamed = self._write
+        crashes.on_poison_request = self._write
         crashes.on_cleared = self._drop
 
     # -- reading ---------------------------------------------------------------
@@ -102,23 +102,24 @@
         started = self._loop.now
 
         def due():
-            wait_s = started + HEARTBEATS * heartbeat_s() - self._loop.now
+            wait_s = started + READ_DELAY_HEARTBEATS * heartbeat_s(
+            ) - self._loop.now
             if wait_s > 0:
                 self._loop.later(wait_s, due)
             elif reads() and not self._crashes.suspects.summary:
                 self._read('')
 
-        self._loop.later(READ_AFTER_S, due)
+        self._loop.later(READ_DELAY_S, due)
 
     def _read(self, after):
-        self._source.newest(
-            after, topic.SILENCE_S,
+        self._source.read_snapshot(
+            after, topic.SILENCE_TIMEOUT_S,
             lambda newest, exc: self._listed(after, newest, exc))
 
     def _listed(self, after, newest, exc):
         if exc is not None:
             self._log.warning('not_read', error=str(exc))
-            self._loop.later(RETRY_S, lambda: self._read(after))
+            self._loop.later(RETRY_PAUSE_S, lambda: self._read(after))
             return
         for record in newest.records:
             self._take(record)
@@ -128,14 +129,14 @@
 
     def _take(self, record):
         try:
-            self._crashes.take(decode(record.value, _now_ms()))
+            self._crashes.merge_reports(decode(record.value, _now_ms()))
         except errors.RecordError as exc:
             self._log.warning('record_spoilt', key=record.key, error=str(exc))
 
     # -- writing ---------------------------------------------------------------
 
     def _write(self, digest):
-        self._due[digest] = encode(self._crashes.sightings(digest), _now_ms())
+        self._due[digest] = encode(self._crashes.reports_of(digest), _now_ms())
         self._flush()
 
     def _drop(self, digest):
@@ -147,7 +148,7 @@
             return
         self._writing = True
         digest, value = next(iter(self._due.items()))
-        self._source.append(digest.hex(), value, topic.SILENCE_S,
+        self._source.append(digest.hex(), value, topic.SILENCE_TIMEOUT_S,
                             lambda end, exc: self._wrote(digest, value, exc))
 
     def _wrote(self, digest, value, exc):
@@ -156,7 +157,7 @@
             self._log.warning('not_written',
                               digest=digests.shown(digest),
                               error=str(exc))
-            self._loop.later(RETRY_S, self._again)
+            self._loop.later(RETRY_PAUSE_S, self._again)
             return
         if self._due.get(digest) == value:
             del self._due[digest]
--- a/gorsefall/relay/exchange.py
+++ b/gorsefall/relay/exchange.py
@@ -46,7 +46,7 @@
         self._deadline_timer = None
         self._attempt_timer = None
         self._longest_pause_s = 0.0
-        self._copy = copies.Copy(node.ends, node.fleet)
+        self._copy = copies.Copy(node.prober, node.fleet)
 
     # -- what may be done ------------------------------------------------------
 
@@ -85,7 +85,7 @@
 
     def _speed(self):
         """Returns the ``pace.Pace`` of its service's replicas."""
-        return self.node.work.service(self._grant.service).speed
+        return self.node.work.service_state(self._grant.service).speed
 
     def _time_left(self):
         return self._deadline - time.monotonic()
@@ -105,7 +105,7 @@
             # Asked again before each send: while the request waited, its
             # key may have been revoked or its route moved.
             self._grant.renew()
-        if not self.node.crashes.begin(self.digest, self):
+        if not self.node.crashes.try_begin_run(self.digest, self):
             return
         choice = self._grant.place(self.attempts.tried,
                                    refuse=not self.attempts.names,
@@ -131,7 +131,7 @@
             resume_after=self._delivery.last_id,
             source=choice.source)
         if self.req.prompt is not None:
-            self.node.work.prompt_sent(replica, self.req.prompt.shared)
+            self.node.work.record_prompt(replica, self.req.prompt.shared)
         self._attempt = sending.Attempt(self,
                                         replica,
                                         order,
@@ -186,8 +186,8 @@
         """Whether another replica may be asked, and there is one."""
         return (self.attempts.may_repeat(self.terms) and
                 self._budget().room(time.monotonic()) >= 1 and bool(
-                    self.node.work.targets(self._grant.service,
-                                           self.attempts.tried)))
+                    self.node.work.candidate_views(self._grant.service,
+                                                   self.attempts.tried)))
 
     def _note_wait(self, attempt):
         self._patience().began(time.monotonic() - attempt.began)
@@ -240,12 +240,12 @@
         if answer.not_run:
             self._refused(attempt, answer)
             return
-        health = attempt.replica.target
+        health = attempt.replica.view
         health.succeeded()
-        attempt.replica.ended_at = None
-        self.node.crashes.ran(self.digest)
+        attempt.replica.exited_at = None
+        self.node.crashes.record_completed_run(self.digest)
         attempt.note_end(self._speed())
-        self.node.work.answered(
+        self.node.work.record_response(
             attempt.replica, answer.status < INTERNAL or
             answer.status == TIME_UP)
         if answer.success and not answer.genuine:
@@ -266,7 +266,7 @@
     def _refused(self, attempt, answer):
         self.attempts.refused()
         if answer.misdirected:
-            self.node.fleet.replaced(attempt.replica.record.id)
+            self.node.fleet.drop_replaced(attempt.replica.record.id)
         self.log.info('not_run',
                       replica=attempt.replica.record.id,
                       status=answer.status,
@@ -280,7 +280,7 @@
         """Called when an attempt ended without a whole answer."""
         self._close_attempt(attempt)
         now = time.monotonic()
-        attempt.replica.target.failed(now)
+        attempt.replica.view.failed(now)
         self.log.info('attempt_failed',
                       replica=attempt.replica.record.id,
                       reason=failure.reason,
@@ -290,11 +290,12 @@
             self.attempts.not_reached()
             self.restart()
         elif failure.broke:
-            run = crashes.Run(self.digest,
-                              attempt.began,
-                              attempt.first_at,
-                              again=len(self.attempts.names) > 1)
-            self.node.crashes.broke(
+            run = crashes.BrokenRun(self.digest,
+                                    attempt.began,
+                                    attempt.first_at,
+                                    after_broken_run=len(self.attempts.names)
+                                    > 1)
+            self.node.crashes.handle_broken_run(
                 attempt.replica, run,
                 lambda: self._after_failure(attempt, failure.reason))
         else:
@@ -341,7 +342,7 @@
         if self._attempt is not None:
             attempt.channel.cancel()
             self._close_attempt(attempt)
-            attempt.replica.target.failed(time.monotonic())
+            attempt.replica.view.failed(time.monotonic())
         replica = self._copy.take()
         if (replica is None or not self._budget().take(time.monotonic())):
             self.fail(
@@ -354,11 +355,9 @@
                       after=self._last_event())
         try:
             self._grant.renew()
-            if not self.node.crashes.begin(self.digest, self):
+            if not self.node.crashes.try_begin_run(self.digest, self):
                 raise self.attempts.unknown('another run of it is under way')
-            self._send(replica,
-                       placement.Choice(replica.target),
-                       from_copy=True)
+            self._send(replica, placement.Choice(replica.view), from_copy=True)
         except errors.GorsefallError as exc:
             self.fail(self.attempts.honest(exc, str(exc), self.terms))
 
@@ -413,7 +412,7 @@
         if self._deadline_timer is not None:
             self._deadline_timer.cancel()
         self._copy.cancel()
-        self.node.crashes.ended(self.digest, self)
+        self.node.crashes.end_run(self.digest, self)
         ending.note(self,
                     self._grant,
                     outcome,
--- a/gorsefall/relay/fleet.py
+++ b/gorsefall/relay/fleet.py
@@ -20,19 +20,19 @@
 """Part of a replica's connections that one entry may hold; there are 6 to 7
 entries, which are rarely at their cap at once."""
 
-ABSENT_S = 2.2
+REWRITE_GRACE_S = 2.2
 """Time after the store's return in which replicas whose records lapsed
 meanwhile write them again, s; the store's operators name 2 s."""
 
-ALIVE_S = 3.0
+EXIT_RECORD_LAG_S = 3.0
 """Time after which a record shows that a replica lives that was found to have
 ended, s: one written before its end is read by then."""
 
-TOLD_S = 6.0
+EXIT_REPORT_WINDOW_S = 6.0
 """Time for which a message tells of such an end, s: twice and more to each of
 hundreds of entries."""
 
-MAX_TOLD = 32
+MAX_EXIT_REPORTS = 32
 """Ends told of in a message."""
 
 
@@ -51,31 +51,32 @@
             it is believed to run.
     """
 
-    def __init__(self, loop, record, service, changed):
+    def __init__(self, loop, record, service, on_change):
         self.record = record
-        self._changed = changed
-        self.doubtful = False
-        self.spoilt = False
-        self.ended_at = None
+        self._changed = on_change
+        self.record_lapsed = False
+        self.record_malformed = False
+        self.exited_at = None
         self.limit = announced.Announced()
-        self.target = knowledge.Target(name=record.id,
-                                       zone=record.zone,
-                                       slots=record.slots,
-                                       engine=service.engine,
-                                       kept=prompts.Kept(service.memory))
+        self.view = knowledge.Target(name=record.id,
+                                     zone=record.zone,
+                                     slots=record.slots,
+                                     engine=service.engine,
+                                     kept=prompts.Kept(service.memory))
         cap = max(2, int(service.max_connections * CONNECTION_SHARE))
         self.pool = outbound.Pool(loop,
                                   record.addr,
                                   cap=cap,
                                   connect_timeout_s=CONNECT_TIMEOUT_S)
 
-    def written(self, now):
+    def on_record_written(self, now):
         """Notes that its record was written anew."""
-        if self.ended_at is not None and now - self.ended_at > ALIVE_S:
-            self.ended_at = None
+        if (self.exited_at is not None and
+                now - self.exited_at > EXIT_RECORD_LAG_S):
+            self.exited_at = None
 
     @contextlib.contextmanager
-    def occupied(self, tokens, *, writes=False):
+    def in_flight(self, tokens, *, decode_heavy=False):
         """Counts one request in flight; ``tokens`` of prompt are to be read.
 
         Yields:
@@ -85,16 +86,16 @@
 
         def prompt_read():
             if unread:
-                self.target.began(unread.pop())
+                self.view.began(unread.pop())
                 self._changed()
 
-        self.target.sent(tokens, writes=writes)
+        self.view.sent(tokens, writes=decode_heavy)
         self._changed()
         try:
             yield prompt_read
         finally:
             prompt_read()
-            self.target.ended(writes=writes)
+            self.view.ended(writes=decode_heavy)
             self._changed()
 
 
@@ -105,16 +106,16 @@
         replicas: ``id -> Replica``.
     """
 
-    def __init__(self, loop, changed=lambda: None):
+    def __init__(self, loop, on_change=lambda: None):
         """Creates a directory without replicas.
 
         Args:
             loop: The ``reactor.Reactor``.
-            changed: Called when the work under way at a replica changed.
+            on_change: Called when the work under way at a replica changed.
         """
         super().__init__()
         self._loop = loop
-        self._changed = changed
+        self._changed = on_change
         self._records = {}
         self._replaced = set()
         self._ended = {}
@@ -123,7 +124,7 @@
         self._doubt_until = float('-inf')
         self._log = logs.get('fleet')
 
-    def services_changed(self, services):
+    def set_services(self, services):
         """Adopts the ``name -> model.Service`` of a new configuration."""
         self._services = services
         for record in self._records.values():
@@ -166,8 +167,8 @@
         rep = self.replicas.get(record.id)
         if rep is not None:
             rep.record = record
-            rep.doubtful = rep.spoilt = False
-            rep.written(time.monotonic())
+            rep.record_lapsed = rep.record_malformed = False
+            rep.on_record_written(time.monotonic())
         elif (record.service in self._services and
               record.id not in self._replaced):
             self.replicas[record.id] = Replica(self._loop, record,
@@ -188,43 +189,44 @@
         if rep is None:
             return
         if self._away or now < self._doubt_until:
-            rep.doubtful = True
+            rep.record_lapsed = True
             self._log.info('replica_doubtful', replica=replica_id)
             return
         self._drop(replica_id, 'record gone')
 
-    def ended(self, replica, at):
+    def record_exit(self, replica, at):
         """Notes that a ``Replica`` was found to have ended, unannounced.
 
         Its record stays for some heartbeats. Without this each of many
         entries finds out by a request of its own, and where the replica is
         back at its address as another one, that request is refused.
         """
-        if replica.ended_at is None:
-            replica.ended_at = at
+        if replica.exited_at is None:
+            replica.exited_at = at
             self._ended[replica.record.id] = replica
             self._log.info('replica_ended', replica=replica.record.id)
 
-    def ended_of_late(self, now):
+    def recent_exits(self, now):
         """Returns the ``membership.Ended`` objects that a status tells."""
         self._ended = {
             name: rep
             for name, rep in self._ended.items()
-            if rep.ended_at is not None and now - rep.ended_at < TOLD_S
+            if rep.exited_at is not None and now -
+            rep.exited_at < EXIT_REPORT_WINDOW_S
         }
         return tuple(
             membership.Ended(name, rep.record.born,
-                             max(0, int((now - rep.ended_at) * 1000)))
-            for name, rep in list(self._ended.items())[:MAX_TOLD])
+                             max(0, int((now - rep.exited_at) * 1000)))
+            for name, rep in list(self._ended.items())[:MAX_EXIT_REPORTS])
 
-    def heard(self, status, now):
+    def handle_status(self, status, now):
         """Takes in what the ``membership.Status`` of another entry tells."""
         for end in status.ended:
             rep = self.replicas.get(end.replica)
             if rep is not None and rep.record.born == end.born:
-                self.ended(rep, now - end.age_ms / 1000)
+                self.record_exit(rep, now - end.age_ms / 1000)
 
-    def replaced(self, replica_id):
+    def drop_replaced(self, replica_id):
         """Drops a replica whose address another one answers at.
 
         Its record stays for some heartbeats after its end. Without this every
@@ -235,7 +237,7 @@
         if replica_id in self.replicas:
             self._drop(replica_id, 'another replica has its address')
 
-    def spoilt(self, replica_id):
+    def mark_malformed(self, replica_id):
         """Notes that a replica's newest record cannot be read.
 
         It may have left or moved, so it gets no new work, and what is known
@@ -243,29 +245,29 @@
         """
         rep = self.replicas.get(replica_id)
         if rep is not None:
-            rep.spoilt = True
+            rep.record_malformed = True
 
     def keep_only(self, names, now):
         """Drops all replicas but ``names``, the keys of a new listing."""
         for replica_id in set(self._records) - names:
             self.remove(replica_id, now)
 
-    def store_lost(self):
+    def on_store_lost(self):
         """Notes that the store does not answer."""
         self._away = True
 
-    def store_back(self, now):
+    def on_store_regained(self, now):
         """Notes that the store answers again."""
         if self._away:
             self._away = False
-            self._doubt_until = now + ABSENT_S
-            self._loop.later(ABSENT_S, self._settle)
+            self._doubt_until = now + REWRITE_GRACE_S
+            self._loop.later(REWRITE_GRACE_S, self._settle)
 
     def _settle(self):
         if self._away:
             return
         for replica_id, rep in list(self.replicas.items()):
-            if rep.doubtful:
+            if rep.record_lapsed:
                 self._drop(replica_id, 'record not back after an outage')
 
     def _drop(self, replica_id, reason):
@@ -277,7 +279,7 @@
         """Returns the ``model.Service`` of that name, or None."""
         return self._services.get(name)
 
-    def of(self, service):
+    def of_service(self, service):
         """Returns every replica of a service, a list."""
         return [
             r for r in self.replicas.values() if r.record.service == service
@@ -294,9 +296,10 @@
         """
         now = time.monotonic()
         live = [
-            r for r in self.of(service) if r.record.id not in exclude and
-            not r.spoilt and r.record.status is model.ReplicaStatus.READY and
+            r for r in self.of_service(service)
+            if r.record.id not in exclude and not r.record_malformed and
+            r.record.status is model.ReplicaStatus.READY and
             not r.pool.full() and r.limit.allows(now, urgent=urgent)
         ]
-        return [r for r in live if not r.doubtful and r.ended_at is None
+        return [r for r in live if not r.record_lapsed and r.exited_at is None
                ] or live
--- a/gorsefall/relay/following.py
+++ b/gorsefall/relay/followers.py
@@ -3,18 +3,18 @@
 from gorsefall import ids
 from gorsefall import settingsfile
 from gorsefall.policy import readers
-from gorsefall.relay import beliefs
 from gorsefall.relay import messages
 from gorsefall.relay import pacing
 from gorsefall.relay import sharing
 from gorsefall.relay import topic
+from gorsefall.relay import topiclisteners
 
-CONFIG_MOST_KB = 64
+MAX_CONFIG_READ_KB = 64
 """Most data of one read of the configuration, KB: several small ones, but no
 large one beside another, as only the newest counts."""
 
 
-class Following:
+class Followers:
     """The followers of both topics, alone or shared with other entries."""
 
     def __init__(self, node, adapter):
@@ -35,30 +35,30 @@
             host, _ = settingsfile.split_addr(self._node.cfg.peers)
             own = readers.Candidate(self._node.cfg.name, host,
                                     ids.ZoneName(self._node.cfg.zone))
-            self._sharing = sharing.Sharing(self._node.loop, own,
-                                            self._candidates, peers.send)
+            self._sharing = sharing.SharedReads(self._node.loop, own,
+                                                self._candidates, peers.send)
             for kind in (messages.Ask, messages.Told, messages.Hint):
-                peers.read(kind, self._sharing.received)
+                peers.register_handler(kind, self._sharing.handle_message)
         self._follow()
         if self._sharing is not None:
             self._sharing.start()
 
     @property
-    def able(self):
+    def can_read_for_others(self):
         """Whether the store can be read for others."""
-        return self._sharing is not None and self._sharing.able()
+        return self._sharing is not None and self._sharing.reaches_store()
 
     @property
-    def told_by(self):
+    def source_host(self):
         """Host that told last what the store holds; None after own reads."""
-        return self._sharing.told_by if self._sharing is not None else None
+        return self._sharing.source_host if self._sharing is not None else None
 
     @property
-    def reads(self):
+    def is_reader(self):
         """Whether this entry reads the store by itself."""
-        return self._sharing is None or self._sharing.leads
+        return self._sharing is None or self._sharing.is_reader
 
-    def settings_changed(self, before):
+    def apply_settings(self, before):
         """Follows anew where new settings ask for it."""
         cfg = self._node.cfg
         if (cfg.store != before.store or
@@ -69,7 +69,7 @@
 
     def _candidates(self):
         """Returns the other entries that are heard."""
-        heard = self._node.work.view.members.spoken(self._node.loop.now)
+        heard = self._node.work.peer_view.members.spoken(self._node.loop.now)
         return [
             readers.Candidate(status.name, host, status.zone, status.reads)
             for host, status in heard
@@ -81,25 +81,27 @@
         cfg, records = self._node.cfg, self._adapter.records
         self._topics = {
             'configuration':
-                self._topic(self._adapter.configuration_topic,
-                            beliefs.Configuration(self._node, records),
-                            alone=topic.Pace(wait_s=pacing.config_wait_s(cfg)),
-                            shared=topic.Pace(wait_s=pacing.shared_wait_s(cfg)),
-                            most_kb=CONFIG_MOST_KB),
+                self._topic(
+                    self._adapter.configuration_topic,
+                    topiclisteners.ConfigurationListener(self._node, records),
+                    alone=topic.ReadPace(wait_s=pacing.config_wait_s(cfg)),
+                    shared=topic.ReadPace(wait_s=pacing.shared_wait_s(cfg)),
+                    max_kb=MAX_CONFIG_READ_KB),
             'replicas':
                 self._topic(
                     self._adapter.replicas_topic,
-                    beliefs.Replicas(self._node, records),
-                    alone=topic.Pace(pause_s=pacing.replicas_pause_s(cfg)),
-                    shared=topic.Pace(pause_s=pacing.shared_pause_s(cfg)),
-                    most_kb=topic.MOST_KB)
+                    topiclisteners.ReplicasListener(self._node, records),
+                    alone=topic.ReadPace(pause_s=pacing.replicas_pause_s(cfg)),
+                    shared=topic.ReadPace(pause_s=pacing.shared_pause_s(cfg)),
+                    max_kb=topic.MAX_READ_KB)
         }
         if self._sharing is not None:
-            self._sharing.follow(self._topics, cfg.store, pacing.ask_s(cfg))
+            self._sharing.set_followers(self._topics, cfg.store,
+                                        pacing.query_pause_s(cfg))
         for followed in self._topics.values():
             followed.follower.start()
 
-    def _topic(self, name, listener, *, alone, shared, most_kb):
+    def _topic(self, name, listener, *, alone, shared, max_kb):
         source = self._adapter.source(
             self._node.loop, settingsfile.split_addr(self._node.cfg.store),
             name)
@@ -108,10 +110,10 @@
                                   listener,
                                   name=name,
                                   pace=alone,
-                                  most_kb=most_kb,
-                                  on_news=self._news)
-        return sharing.Topic(follower, alone, shared)
+                                  max_kb=max_kb,
+                                  on_change=self._news)
+        return sharing.FollowedTopic(follower, alone, shared)
 
     def _news(self):
         if self._sharing is not None:
-            self._sharing.changed()
+            self._sharing.send_hints()
--- a/gorsefall/relay/grant.py
+++ b/gorsefall/relay/grant.py
@@ -73,12 +73,12 @@
     @property
     def rank(self):
         """How urgent it is among all that ask, 0 the most."""
-        return self._node.table.rank(self.account, self.route)
+        return self._node.table.admission_rank(self.account, self.route)
 
     @property
     def urgency(self):
         """How urgent it is at its replica, 0 the most."""
-        return self._node.table.urgency(self.account, self.route)
+        return self._node.table.replica_rank(self.account, self.route)
 
     def _see(self):
         """Returns its ``knowledge.Want`` on the terms granted now."""
@@ -130,7 +130,7 @@
                            backup=backup,
                            copy_at=record.addr if from_copy else None,
                            resume_after=resume_after,
-                           fetch_from=self._node.work.addr_of(source))
+                           fetch_from=self._node.work.replica_addr(source))
 
     def place(self, tried, *, refuse, emptiest=False):
         """Chooses where it goes.
@@ -150,14 +150,14 @@
         work = self._node.work
         self.want = self._see()
         urgent = work.ranks(self.service).leads(self.rank)
-        targets = work.targets(self.service, tried, urgent=urgent)
+        targets = work.candidate_views(self.service, tried, urgent=urgent)
         if emptiest:
             targets = placement.emptiest(targets)
         choice = placement.choose(targets,
                                   self.want,
-                                  work.service(self.service),
+                                  work.service_state(self.service),
                                   time.monotonic(),
-                                  sources=work.sources(self.service))
+                                  sources=work.draining_views(self.service))
         if choice is None:
             return None
         metrics.QUEUE_MS.labels(self.service).set(choice.queue_ms)
--- a/gorsefall/relay/messages.py
+++ b/gorsefall/relay/messages.py
@@ -15,26 +15,27 @@
     """Asks what is known of the store's topics.
 
     Attributes:
-        number: Names the question; drawn at random.
+        query_id: Names the question; drawn at random.
         store: ``host:port`` of the asker's store; offsets are its own.
         offsets: Offsets that the asker would read from.
-        cut_off: Whether it does not reach the store.
+        store_unreachable: Whether it does not reach the store.
     """
-    number: int
+    query_id: int
     store: str
     offsets: Offsets
-    cut_off: bool = False
+    store_unreachable: bool = False
 
 
 class Told(msgspec.Struct, frozen=True, array_like=True, tag='told'):
     """Answers an ``Ask``.
 
     Attributes:
-        number: That of the question.
-        news: ``topic -> changes.News``; a topic that is not known is left out.
+        query_id: That of the question.
+        topic_changes: ``topic -> changes.ChangeSet``; unknown topics are left
+            out.
     """
-    number: int
-    news: dict[str, changes.News]
+    query_id: int
+    topic_changes: dict[str, changes.ChangeSet]
 
 
 class Hint(msgspec.Struct, frozen=True, array_like=True, tag='hint'):
@@ -42,10 +43,10 @@
 
     Attributes:
         store: ``host:port`` of the store.
-        ends: Offset of each topic after its last record.
+        end_offsets: Offset of each topic after its last record.
     """
     store: str
-    ends: Offsets
+    end_offsets: Offsets
 
 
 class Suspects(msgspec.Struct, frozen=True, array_like=True, tag='suspects'):
--- a/gorsefall/relay/node.py
+++ b/gorsefall/relay/node.py
@@ -14,17 +14,17 @@
 from gorsefall.policy import freshness
 from gorsefall.policy import patience
 from gorsefall.policy import share
-from gorsefall.relay import announcing
 from gorsefall.relay import crashes
-from gorsefall.relay import ends
+from gorsefall.relay import crashstore
 from gorsefall.relay import exchange
 from gorsefall.relay import fleet
-from gorsefall.relay import following
+from gorsefall.relay import followers
 from gorsefall.relay import messages
 from gorsefall.relay import outcomes
 from gorsefall.relay import pacing
 from gorsefall.relay import peers
-from gorsefall.relay import remembered
+from gorsefall.relay import prober
+from gorsefall.relay import replicalimits
 from gorsefall.relay import servers
 from gorsefall.relay import settings
 from gorsefall.relay import workload
@@ -56,10 +56,10 @@
         table: The ``routes.Table`` in force; None before the first.
         proof: The ``freshness.Proof`` of the table.
         fleet: The ``fleet.Fleet``.
-        ends: The ``ends.Ends`` of its replicas.
-        crashes: The ``crashes.Crashes`` of requests there.
+        prober: The ``prober.ReplicaProber`` of its replicas.
+        crashes: The ``crashes.CrashTracker`` of requests there.
         work: The ``workload.Workload`` at its replicas.
-        announcing: The ``announcing.Announcing`` of its replicas' limits.
+        limit_tracker: The ``replicalimits.LimitTracker`` of its replicas.
         share: The ``share.Share`` of the traffic that comes here.
         replicas_known: Whether the replicas were listed once.
     """
@@ -81,22 +81,23 @@
         self.dialect = adapter.dialect
         self.loop = reactor.Reactor().register(self)
         self.table = None
-        self.proof = freshness.Proof(self.cfg.revoke_s - pacing.PROOF_MARGIN_S)
+        self.proof = freshness.Proof(self.cfg.revoke_s -
+                                     pacing.CONFIRMATION_MARGIN_S)
         self.fleet = fleet.Fleet(self.loop, self._work_changed)
-        self.ends = ends.Ends(self.loop)
-        self.crashes = crashes.Crashes(self.loop, self.ends, self.fleet)
+        self.prober = prober.ReplicaProber(self.loop)
+        self.crashes = crashes.CrashTracker(self.loop, self.prober, self.fleet)
         self.work = workload.Workload(self.cfg.name, self.fleet,
                                       self.cfg.retries.window_s)
-        self.announcing = announcing.Announcing(self.loop, self.fleet,
-                                                self.work.view.members)
+        self.limit_tracker = replicalimits.LimitTracker(
+            self.loop, self.fleet, self.work.peer_view.members)
         self._peers = None
         self.replicas_known = False
         self._proven = False
         self.share = share.Share()
         self._budgets = {}
         self._patience = {}
-        self._reads = following.Following(self, adapter)
-        self._remembered = remembered.Remembered(
+        self._reads = followers.Followers(self, adapter)
+        self._remembered = crashstore.CrashStore(
             self.loop,
             adapter.source(self.loop, settingsfile.split_addr(self.cfg.store),
                            adapter.crashes_topic), self.crashes)
@@ -123,9 +124,9 @@
             self._peers.start()
         self._reads.start(self._peers)
         self.crashes.start(self._peers)
-        self.announcing.start()
+        self.limit_tracker.start()
         self._remembered.start(
-            lambda: self._reads.reads,
+            lambda: self._reads.is_reader,
             self._peers.heartbeat_s if self._peers else lambda: 0.0)
         self.loop.later(SETTINGS_POLL_S, self._look_at_settings)
         self.log.info('started',
@@ -135,16 +136,17 @@
 
     def _share_beliefs(self):
         self._peers.on_status = self._told
-        self._peers.read(
+        self._peers.register_handler(
             messages.Suspects,
-            lambda message, host: self.crashes.take(message.sightings))
-        self._peers.read(messages.AskSuspects,
-                         lambda message, host: self.crashes.asked(host))
+            lambda message, host: self.crashes.merge_reports(message.sightings))
+        self._peers.register_handler(
+            messages.AskSuspects,
+            lambda message, host: self.crashes.send_suspects(host))
 
     def _told(self, status, host):
-        self.crashes.heard(status, host)
-        self.announcing.heard(status)
-        self.fleet.heard(status, self.loop.now)
+        self.crashes.handle_status(status, host)
+        self.limit_tracker.handle_status(status)
+        self.fleet.handle_status(status, self.loop.now)
 
     # -- what is believed ------------------------------------------------------
 
@@ -154,7 +156,7 @@
         if old is not None and table.version <= old:
             return
         self.table = table
-        self.fleet.services_changed(table.services)
+        self.fleet.set_services(table.services)
         self.log.info('configuration',
                       version=table.version,
                       before=old,
@@ -177,8 +179,9 @@
             self._proven = False
             self.log.warning('proof_lost',
                              age_s=self.proof.logged_age_s(),
-                             told_by=self._reads.told_by)
-        return (fresh or not self.table.keyed or not self.cfg.strict_revocation)
+                             told_by=self._reads.source_host)
+        return (fresh or not self.table.requires_key or
+                not self.cfg.strict_revocation)
 
     def budget(self, service):
         """Returns the ``budget.Budget`` of a service."""
@@ -186,12 +189,12 @@
         if found is None:
             found = self._budgets[service] = budget.Budget(
                 self.cfg.retries, self.share,
-                lambda: self.work.others_firsts(service))
+                lambda: self.work.others_first_attempts(service))
         return found
 
     def _work_changed(self):
         if self._peers is not None:
-            self._peers.changed()
+            self._peers.schedule_status()
 
     def status(self, boot, seq, hosts):
         """Returns the ``membership.Status`` to tell the other entries."""
@@ -199,25 +202,26 @@
             service: known.firsts(self.loop.now)
             for service, known in self._budgets.items()
         }
-        return self.work.status(boot,
-                                seq,
-                                hosts,
-                                firsts=firsts,
-                                zone=self.cfg.zone,
-                                reads=self._reads.able and not self.draining,
-                                sightings=self.crashes.told(self.loop.now),
-                                suspects=self.crashes.suspects.summary,
-                                limits=self.announcing.told(self.loop.now),
-                                ended=self.fleet.ended_of_late(self.loop.now))
+        return self.work.status(
+            boot,
+            seq,
+            hosts,
+            firsts=firsts,
+            zone=self.cfg.zone,
+            reads=self._reads.can_read_for_others and not self.draining,
+            sightings=self.crashes.recent_reports(self.loop.now),
+            suspects=self.crashes.suspects.summary,
+            limits=self.limit_tracker.recent_reports(self.loop.now),
+            ended=self.fleet.recent_exits(self.loop.now))
 
     def load_told(self, replica, load):
         """Notes the ``model.Load`` that a replica told with an answer."""
-        replicas = self.fleet.of(replica.record.service)
-        self.share.seen(own=sum(r.target.outstanding for r in replicas),
+        replicas = self.fleet.of_service(replica.record.service)
+        self.share.seen(own=sum(r.view.outstanding for r in replicas),
                         there=load.running + load.waiting,
                         replicas=len(replicas))
-        if self.work.view.members.alone:
-            replica.target.report(load.running, load.waiting, self.loop.now)
+        if self.work.peer_view.members.alone:
+            replica.view.report(load.running, load.waiting, self.loop.now)
 
     def patience(self, service, kind):
         """Returns the ``patience.Patience`` of a service and kind."""
@@ -281,14 +285,14 @@
             # next change is read again.
             self.log.error('reload_failed', error=str(exc))
             return
-        self.proof.bound_s = self.cfg.revoke_s - pacing.PROOF_MARGIN_S
+        self.proof.bound_s = self.cfg.revoke_s - pacing.CONFIRMATION_MARGIN_S
         for known in self._budgets.values():
             # Their counts stay: retries that were forgotten would be allowed
             # once more by every change of the settings.
             known.allowance = self.cfg.retries
-        self._reads.settings_changed(before)
+        self._reads.apply_settings(before)
         if self._peers is not None:
-            self._peers.seeds_changed(self.cfg.seed_hosts)
+            self._peers.set_seeds(self.cfg.seed_hosts)
         self.log.info('reloaded', store=self.cfg.store)
 
     # -- shutdown --------------------------------------------------------------
--- a/gorsefall/relay/peers.py
+++ b/gorsefall/relay/peers.py
@@ -16,35 +16,35 @@
 from gorsefall.policy import membership
 from gorsefall.relay import messages
 
-PERIOD_S = 0.1
+MIN_PAUSE_S = 0.1
 """Shortest pause between two messages to an entry, s: all entries together
 place a few requests in it without knowing of each other."""
 
-HEARTBEAT_S = 0.5
+MAX_PAUSE_S = 0.5
 """Longest such pause, s: two in a row may be lost before an entry's counts are
 left out."""
 
-MESSAGES_PER_S = 80.0
+MAX_MESSAGES_PER_S = 80.0
 """Messages that an entry sends a second at most, on the mean, which keeps
 control within its part of a core; with more than eight others, both pauses
 grow."""
 
-SPREAD = (0.8, 1.2)
+PAUSE_JITTER = (0.8, 1.2)
 """Range of a pause, in times of itself, so that entries do not all speak just
 after each other."""
 
-SILENT_BEATS = 2.4
+SILENT_HEARTBEATS = 2.4
 """Heartbeats without a word after which an entry is left out."""
 
-TOLD = 6
+MAX_HOSTS_PER_MESSAGE = 6
 """Entries that a message tells of at most: enough for all to hear of each other
 within seconds of a common start."""
 
-FEW = 8
+SMALL_DEPLOYMENT_ENTRIES = 8
 """Others up to which a message tells of any; with more, of those that are new,
 as each host told crosses most of a large deployment's links."""
 
-MAX_BYTES = 8192
+MAX_MESSAGE_BYTES = 8192
 """Longest message, bytes: one with work at 200 replicas fits."""
 
 
@@ -78,35 +78,35 @@
         self._log = logs.get('peers')
         self._faulty = set()
         self._live = 0
-        self._view = node.work.view
+        self._view = node.work.peer_view
         self._endpoint = datagrams.Endpoint(self._loop, addr, self._received)
 
     def start(self):
         """Begins to speak to the others."""
         self._speak()
 
-    def read(self, kind, reader):
+    def register_handler(self, kind, reader):
         """Has ``reader(message, host)`` called with messages of a kind."""
         self._readers[kind] = reader
 
-    def seeds_changed(self, seeds):
+    def set_seeds(self, seeds):
         """Adopts the seeds of new settings."""
         self._seeds = seeds
 
-    def changed(self):
+    def schedule_status(self):
         """Has the others told soon that this entry's work has changed."""
         if not self._view.members.alone and self._due_at > self._soonest:
             self._speak_at(self._soonest)
 
     # -- when to speak ---------------------------------------------------------
 
-    def period_s(self):
+    def min_pause_s(self):
         """Returns the shortest pause between two messages to an entry, s."""
-        return max(PERIOD_S, self._live / MESSAGES_PER_S)
+        return max(MIN_PAUSE_S, self._live / MAX_MESSAGES_PER_S)
 
     def heartbeat_s(self):
         """Returns the longest such pause, s."""
-        return max(HEARTBEAT_S, self.period_s())
+        return max(MAX_PAUSE_S, self.min_pause_s())
 
     def _speak_at(self, when):
         if self._due is not None:
@@ -120,13 +120,13 @@
         members = self._view.members
         live = members.live(now)
         self._note_members(len(live))
-        self._soonest = now + self.period_s() * random.uniform(*SPREAD)
+        self._soonest = now + self.min_pause_s() * random.uniform(*PAUSE_JITTER)
         self._speak_at(now + self.heartbeat_s())
         self._told_of(self._seeds, now)
         self._seq += 1
         told = self._told(live, now)
         data = messages.encode(self._node.status(self._boot, self._seq, told))
-        if len(data) > MAX_BYTES:
+        if len(data) > MAX_MESSAGE_BYTES:
             self._log.error('status_too_long', size=len(data))
             return
         for host in members.addresses(now):
@@ -134,17 +134,17 @@
 
     def _told(self, live, now):
         """Returns the hosts to tell the others of."""
-        if len(live) > FEW:
+        if len(live) > SMALL_DEPLOYMENT_ENTRIES:
             # One at any time all the same: who was cut off from some hears
             # of them again.
             live = self._view.members.new(now) or random.sample(live, 1)
-        return random.sample(live, min(TOLD, len(live)))
+        return random.sample(live, min(MAX_HOSTS_PER_MESSAGE, len(live)))
 
     def _note_members(self, live):
         if live != self._live:
             self._log.info('entries_heard', now=live, before=self._live)
             self._live = live
-            self._view.members.silent_s = SILENT_BEATS * self.heartbeat_s()
+            self._view.members.silent_s = SILENT_HEARTBEATS * self.heartbeat_s()
 
     def send(self, message, host):
         """Sends a message of ``messages`` to one entry."""
@@ -174,7 +174,7 @@
         if not isinstance(message, membership.Status):
             self._pass_on(message, host)
         elif self._view.heard(host, message, now):
-            self._told_of(message.hosts[:TOLD], now)
+            self._told_of(message.hosts[:MAX_HOSTS_PER_MESSAGE], now)
             self.on_status(message, host)
 
     def _pass_on(self, message, host):
--- a/gorsefall/relay/ends.py
+++ b/gorsefall/relay/prober.py
@@ -10,7 +10,7 @@
 class Verdict(enum.Enum):
     """What connecting to a replica shows of it."""
     ALIVE = 'alive'
-    ENDED = 'ended'
+    EXITED = 'ended'
     UNKNOWN = 'unknown'
 
 
@@ -32,7 +32,7 @@
         del reason
         # Only a refusal is the VM's own word that no process listens there;
         # a way that is cut shows as nothing at all.
-        self._end(Verdict.ENDED if self._conn.refused else Verdict.UNKNOWN)
+        self._end(Verdict.EXITED if self._conn.refused else Verdict.UNKNOWN)
 
     def on_drained(self):
         """See ``tcp.Connection``."""
@@ -48,7 +48,7 @@
             done(verdict)
 
 
-class Ends:
+class ReplicaProber:
     """Looks after replicas whose channels broke, once for all who ask.
 
     A channel that breaks says nothing of its replica: that one may have
@@ -65,7 +65,7 @@
         self._asked = {}
         self._log = logs.get('ends')
 
-    def look(self, replica, done):
+    def probe(self, replica, done):
         """Calls ``done(verdict)`` with whether a ``fleet.Replica`` is there."""
         waiting = self._asked.get(replica)
         if waiting is not None:
--- a/gorsefall/relay/announcing.py
+++ b/gorsefall/relay/replicalimits.py
@@ -6,11 +6,11 @@
 from gorsefall.policy import announced
 from gorsefall.policy import membership
 
-TOLD_S = 6.0
+REPORT_WINDOW_S = 6.0
 """Time for which a message tells of an answer, s: twice and more to each of
 hundreds of entries."""
 
-PART_S = 0.5
+SHARE_UPDATE_PERIOD_S = 0.5
 """Pause after which the entries that send are worked out anew, s."""
 
 
@@ -18,7 +18,7 @@
     name: str
 
 
-class Announcing:
+class LimitTracker:
     """The ``announced.Announced`` of all replicas of a fleet."""
 
     def __init__(self, loop, fleet, members):
@@ -37,7 +37,7 @@
 
     def start(self):
         """Begins to follow which entries are there."""
-        self._loop.later(PART_S, self.start)
+        self._loop.later(SHARE_UPDATE_PERIOD_S, self.start)
         self._announced = {
             name: replica
             for name, replica in self._announced.items()
@@ -59,7 +59,7 @@
                                   limit.per_s)
         limit.part = 1 / len(found) if own in found else 0.0
 
-    def answered(self, replica, per_s):
+    def record_response(self, replica, per_s):
         """Notes what an answer of a ``fleet.Replica`` said.
 
         Args:
@@ -80,16 +80,16 @@
                        before=before,
                        part=round(replica.limit.part, 3))
 
-    def told(self, now):
+    def recent_reports(self, now):
         """Returns the ``membership.Limit`` objects that a status tells."""
         return tuple(
             membership.Limit(name, replica.record.born,
                              int((now - replica.limit.heard_at) *
                                  1000), replica.limit.per_s)
             for name, replica in self._announced.items()
-            if now - replica.limit.heard_at < TOLD_S)
+            if now - replica.limit.heard_at < REPORT_WINDOW_S)
 
-    def heard(self, status):
+    def handle_status(self, status):
         """Takes in what the ``membership.Status`` of another entry tells."""
         for limit in status.limits:
             replica = self._fleet.replicas.get(limit.replica)
--- a/gorsefall/relay/routes.py
+++ b/gorsefall/relay/routes.py
@@ -4,7 +4,7 @@
 
 from gorsefall import errors
 
-RANKS = 10
+RANK_COUNT = 10
 """Ranks a replica tells apart, 0 the most urgent; more are put together."""
 
 
@@ -28,7 +28,7 @@
 def _numbered(pairs, key):
     """Returns the rank of each pair, in the order of ``key``."""
     ordered = sorted(pairs, key=key)
-    step = min(1.0, (RANKS - 1) / max(1, len(pairs) - 1))
+    step = min(1.0, (RANK_COUNT - 1) / max(1, len(pairs) - 1))
     return {pair: int(i * step) for i, pair in enumerate(ordered)}
 
 
@@ -41,16 +41,17 @@
         services: ``name -> model.Service``.
         limits: The ``model.CallerLimits``.
         accounts: ``key -> model.Account``; empty when no route needs a key.
-        keyed: Whether requests need a key.
+        requires_key: Whether requests need a key.
     """
 
-    def __init__(self, *, version, routes, services, limits, accounts, keyed):
+    def __init__(self, *, version, routes, services, limits, accounts,
+                 requires_key):
         self.version = version
         self.routes = routes
         self.services = services
         self.limits = limits
         self.accounts = accounts
-        self.keyed = keyed
+        self.requires_key = requires_key
         self._by_host = {}
         for route in routes:
             self._by_host.setdefault(route.host, {})[route.prefix] = route
@@ -60,7 +61,7 @@
         self._ranks = _numbered(pairs, key=lambda p: p)
         self._urgencies = _numbered(pairs, key=lambda p: (p[1], p[0]))
 
-    def rank(self, account, route):
+    def admission_rank(self, account, route):
         """Returns how urgent a request is, 0 the most, below ``RANKS``.
 
         The account's priority goes first, the route's decides among equals.
@@ -70,7 +71,7 @@
         """
         return self._ranks[self._key(account, route)]
 
-    def urgency(self, account, route):
+    def replica_rank(self, account, route):
         """Returns how urgent a request is at a replica, 0 the most.
 
         The route's priority goes first, the account's decides among equals.
@@ -110,7 +111,7 @@
         Raises:
             errors.UnknownKeyError: The key is missing or unknown.
         """
-        if not self.keyed or route.public:
+        if not self.requires_key or route.public:
             return None
         account = self.accounts.get(req.key)
         if account is None:
--- a/gorsefall/relay/sending.py
+++ b/gorsefall/relay/sending.py
@@ -24,12 +24,12 @@
         self.replica = replica
         self.began = time.monotonic()
         self.first_at = None
-        self._pulse = stalls.Pulse(replica.target)
+        self._pulse = stalls.Pulse(replica.view)
         self._choice = choice
         self.channel = None
         self.place = contextlib.ExitStack()
         self.prompt_read = self.place.enter_context(
-            replica.occupied(choice.tokens, writes=writes))
+            replica.in_flight(choice.tokens, decode_heavy=writes))
 
     @property
     def begun(self):
@@ -38,7 +38,7 @@
 
     def log_sent(self, service, number):
         """Logs what decided the send; it is that ``number`` of its request."""
-        choice, target, node = (self._choice, self.replica.target,
+        choice, target, node = (self._choice, self.replica.view,
                                 self._exchange.node)
         self._exchange.log.info(
             'sent',
@@ -92,8 +92,8 @@
         if load is not None:
             self._exchange.node.load_told(self.replica, load)
         if not self._answer.misdirected:
-            self._exchange.node.announcing.answered(self.replica,
-                                                    self._answer.limit_per_s)
+            self._exchange.node.limit_tracker.record_response(
+                self.replica, self._answer.limit_per_s)
         self._exchange.answer_began(self._answer)
 
     def on_data(self, data):
--- a/gorsefall/relay/sharing.py
+++ b/gorsefall/relay/sharing.py
@@ -21,61 +21,61 @@
 from gorsefall.relay import messages
 from gorsefall.relay import topic
 
-ANSWER_S = 0.25
+RESPONSE_TIMEOUT_S = 0.25
 """Time for an answer of another entry, s; the way there and back takes 2 ms,
 a busy entry of half a core some 100."""
 
-STALE_S = 0.4
+STALE_MARGIN_S = 0.4
 """Age beyond that of a reader's next read from which on its answer does not
 do, s: it waits for a store that does not answer."""
 
-SPREAD = (0.8, 1.2)
+PAUSE_JITTER = (0.8, 1.2)
 """Range of the pause between questions, in times of itself."""
 
-FALL_BACK_S = 0.3
+FALLBACK_SPREAD_S = 0.3
 """Time over which own reads are spread where nobody answers, s."""
 
-AWAY_S = 2.0
+OUTAGE_SPREAD_S = 2.0
 """The same where everybody asked answers and nobody knows more, s."""
 
-OWN_PAUSE_S = 4.0
+OUTAGE_READ_PAUSE_S = 4.0
 """Pause between own reads while the store does not answer, s: those that read
 try on, and whoever asks them hears within a second that it is back."""
 
-HINT_S = 0.3
+HINT_SPREAD_S = 0.3
 """Time over which those who were hinted of news ask for it, s: the answers of
 one entry share its link with its callers' streams."""
 
-SERVING_S = 5.0
+HINT_WINDOW_S = 5.0
 """Time after a question in which its asker is told of news, s."""
 
-ASKED_S = 2.0
+READ_AFTER_QUERY_S = 2.0
 """Time for which an entry that was asked reads, s: two questions."""
 
-UNREACHED = 3
+MAX_FAILED_READS = 3
 """Own reads failed in a row after which an entry does not read for others."""
 
-PROBE_S = 10.0
+PROBE_PERIOD_S = 10.0
 """Pause between reads that show whether the store is reached again, s, while
 others tell what it holds."""
 
 
-class Topic(typing.NamedTuple):
+class FollowedTopic(typing.NamedTuple):
     """A topic that is followed.
 
     Attributes:
         follower: Its ``topic.Follower``.
-        alone: The ``topic.Pace`` of an entry that nobody asks.
+        alone: The ``topic.ReadPace`` of an entry that nobody asks.
         shared: The same where others depend on it.
     """
     follower: topic.Follower
-    alone: topic.Pace
-    shared: topic.Pace
+    alone: topic.ReadPace
+    shared: topic.ReadPace
 
     @property
-    def stale_s(self):
+    def max_age_s(self):
         """Age from which on another entry's news does not do, s."""
-        return self.shared.age_s + STALE_S
+        return self.shared.max_confirmation_age_s + STALE_MARGIN_S
 
 
 class _Question(typing.NamedTuple):
@@ -91,7 +91,7 @@
     hosts: tuple[str, ...]
 
 
-class Sharing:
+class SharedReads:
     """Has this entry's followers read, or be told by others.
 
     Attributes:
@@ -125,14 +125,15 @@
         self._own_read_due = False
         self._probed_at = float('-inf')
         self._log = logs.get('sharing')
-        self.leads = False
-        self.told_by = None
+        self.is_reader = False
+        self.source_host = None
 
     def start(self):
         """Begins to ask once the others had time to speak."""
-        self._loop.later(self._ask_s * self._rng.uniform(*SPREAD), self._round)
+        self._loop.later(self._ask_s * self._rng.uniform(*PAUSE_JITTER),
+                         self._round)
 
-    def follow(self, topics, store, ask_s):
+    def set_followers(self, topics, store, ask_s):
         """Adopts the followers of a store.
 
         Args:
@@ -144,22 +145,23 @@
         self._open = None
         for followed in topics.values():
             followed.follower.pace = followed.alone
-            followed.follower.lead(self.leads)
+            followed.follower.set_continuous(self.is_reader)
 
-    def able(self):
+    def reaches_store(self):
         """Returns whether the store is reached from here, as far as known."""
-        return all(
-            t.follower.unreached < UNREACHED for t in self._topics.values())
+        return all(t.follower.failed_reads < MAX_FAILED_READS
+                   for t in self._topics.values())
 
     # -- whether to read -------------------------------------------------------
 
     def _round(self):
-        self._loop.later(self._ask_s * self._rng.uniform(*SPREAD), self._round)
+        self._loop.later(self._ask_s * self._rng.uniform(*PAUSE_JITTER),
+                         self._round)
         others = readers.able(self._others())
         # Where nobody reaches the store, those try who would read.
-        contends = self.able() or not any(c.able for c in others)
+        contends = self.reaches_store() or not any(c.able for c in others)
         self._lead(not others or (contends and self._is_due(others)))
-        if self.leads:
+        if self.is_reader:
             self._lead_for(others)
         else:
             self._probe()
@@ -170,7 +172,7 @@
         # Where entries have not all heard of each other they choose others
         # to read; whoever is asked reads, or all would be told old news.
         return (self._choice.reads(others) or
-                bool(self._asked_of_late(ASKED_S)))
+                bool(self._asked_of_late(READ_AFTER_QUERY_S)))
 
     def _asked_of_late(self, for_s):
         """Returns the hosts that asked within ``for_s``, a list."""
@@ -178,22 +180,25 @@
         return [h for h, asked_at in self._askers.items() if asked_at > since]
 
     def _lead(self, leads):
-        if leads != self.leads:
-            self._log.info('reads_store', leads=leads, able=self.able())
-        self.leads = leads
+        if leads != self.is_reader:
+            self._log.info('reads_store',
+                           leads=leads,
+                           able=self.reaches_store())
+        self.is_reader = leads
         metrics.READS_STORE.set(leads)
         for followed in self._topics.values():
-            followed.follower.lead(leads)
+            followed.follower.set_continuous(leads)
 
     def _lead_for(self, others):
-        self.told_by = None
+        self.source_host = None
         depended_on = self._choice.depended_on(others)
         for followed in self._topics.values():
             followed.follower.pace = (followed.shared
                                       if depended_on else followed.alone)
 
     def _probe(self):
-        if self.able() or self._loop.now - self._probed_at < PROBE_S:
+        if self.reaches_store(
+        ) or self._loop.now - self._probed_at < PROBE_PERIOD_S:
             return
         self._probed_at = self._loop.now
         for followed in self._topics.values():
@@ -205,7 +210,7 @@
         offsets = {
             name: t.follower.offset
             for name, t in self._topics.items()
-            if t.follower.listed
+            if t.follower.has_snapshot
         }
         if not offsets:
             return
@@ -214,8 +219,9 @@
             return
         number = self._rng.getrandbits(63)
         self._open = _Question(number, freshness.clock(), tuple(hosts))
-        self._loop.later(ANSWER_S, functools.partial(self._unanswered, number))
-        cut_off = any(t.follower.unreached for t in self._topics.values())
+        self._loop.later(RESPONSE_TIMEOUT_S,
+                         functools.partial(self._unanswered, number))
+        cut_off = any(t.follower.failed_reads for t in self._topics.values())
         self._send(messages.Ask(number, self._store, offsets, cut_off),
                    hosts[0])
 
@@ -238,20 +244,20 @@
         # Spread, as many come here together. Where all who were asked
         # answered, it is the store that is away, and time does not press.
         self._own_read_due = True
-        within_s = FALL_BACK_S if self._unheard else AWAY_S
+        within_s = FALLBACK_SPREAD_S if self._unheard else OUTAGE_SPREAD_S
         self._loop.later(self._rng.uniform(0.0, within_s), self._read_old)
 
     def _read_old(self):
-        if self.leads or not self._in_vain:
+        if self.is_reader or not self._in_vain:
             self._own_read_due = False
             return
         metrics.READS_ASKED.labels('read').inc()
-        self.told_by = None
+        self.source_host = None
         for followed in self._topics.values():
             if followed.follower.age_s() > self._ask_s:
                 followed.follower.read_once()
-        pause_s = self._ask_s if self.able() else OWN_PAUSE_S
-        self._loop.later(pause_s * self._rng.uniform(*SPREAD),
+        pause_s = self._ask_s if self.reaches_store() else OUTAGE_READ_PAUSE_S
+        self._loop.later(pause_s * self._rng.uniform(*PAUSE_JITTER),
                          self._may_read_again)
 
     def _may_read_again(self):
@@ -260,7 +266,7 @@
     # -- messages --------------------------------------------------------------
 
     @functools.singledispatchmethod
-    def received(self, message, host):
+    def handle_message(self, message, host):
         """Takes in a message of another entry.
 
         Args:
@@ -269,37 +275,39 @@
         """
         raise TypeError(f'{type(message).__name__} from {host}')
 
-    @received.register
+    @handle_message.register
     def _(self, message: messages.Ask, host):
         if message.store != self._store:
             return
         self._note_asker(host)
-        most_bytes = (changes.CUT_OFF_BYTES
-                      if message.cut_off else changes.TOLD_BYTES)
+        most_bytes = (changes.MAX_SENT_BYTES_CUT_OFF
+                      if message.store_unreachable else changes.MAX_SENT_BYTES)
         news = {
-            name: followed.follower.news(message.offsets[name], most_bytes)
+            name:
+                followed.follower.changes_since(message.offsets[name],
+                                                most_bytes)
             for name, followed in self._topics.items()
-            if name in message.offsets and followed.follower.listed
+            if name in message.offsets and followed.follower.has_snapshot
         }
-        self._send(messages.Told(message.number, news), host)
+        self._send(messages.Told(message.query_id, news), host)
 
-    @received.register
+    @handle_message.register
     def _(self, message: messages.Told, host):
         question = self._open
-        if (question is None or message.number != question.number or
+        if (question is None or message.query_id != question.number or
                 host != question.hosts[0]):
             # Late, repeated, or to a process that was here before.
             return
         self._open = None
         stale = [
-            name for name, followed in self._topics.items()
-            if not self._take(followed, question, message.news.get(name))
+            name for name, followed in self._topics.items() if
+            not self._take(followed, question, message.topic_changes.get(name))
         ]
         metrics.READS_ASKED.labels('stale' if stale else 'told').inc()
         if stale:
             self._ask(question.hosts[1:])
             return
-        self.told_by = host
+        self.source_host = host
         self._choice.answered(host)
         if self._in_vain:
             self._in_vain = False
@@ -308,29 +316,30 @@
     def _take(self, followed, question, news):
         """Takes in what is known of a topic; returns whether it will do."""
         if news is None:
-            return not followed.follower.listed
-        if not news.whole:
+            return not followed.follower.has_snapshot
+        if not news.complete:
             followed.follower.read_once()
             return True
         try:
-            followed.follower.told(question.asked_at - news.age_s, news)
+            followed.follower.apply_changes(question.asked_at - news.age_s,
+                                            news)
         except errors.RecordError as exc:
             self._log.error('news_spoilt',
                             host=question.hosts[0],
                             error=str(exc))
             return False
-        return news.age_s <= followed.stale_s
+        return news.age_s <= followed.max_age_s
 
-    @received.register
+    @handle_message.register
     def _(self, message: messages.Hint, host):
-        if self.leads or message.store != self._store:
+        if self.is_reader or message.store != self._store:
             return
         missed = any(
             name in self._topics and end > self._topics[name].follower.offset
-            for name, end in message.ends.items())
+            for name, end in message.end_offsets.items())
         if missed and not self._hinted:
             self._hinted = True
-            self._loop.later(self._rng.uniform(0.0, HINT_S),
+            self._loop.later(self._rng.uniform(0.0, HINT_SPREAD_S),
                              functools.partial(self._follow_hint, host))
 
     def _follow_hint(self, host):
@@ -340,16 +349,16 @@
 
     def _note_asker(self, host):
         if len(self._askers) >= membership.MAX_MEMBERS:
-            late = self._asked_of_late(SERVING_S)
+            late = self._asked_of_late(HINT_WINDOW_S)
             self._askers = {h: self._askers[h] for h in late}
         if len(self._askers) < membership.MAX_MEMBERS:
             self._askers[host] = self._loop.now
 
-    def changed(self):
+    def send_hints(self):
         """Tells those who asked of late that there is news."""
-        if not self.leads:
+        if not self.is_reader:
             return
-        since = self._loop.now - SERVING_S
+        since = self._loop.now - HINT_WINDOW_S
         hint = messages.Hint(self._store, {
             name: t.follower.offset for name, t in self._topics.items()
         })
--- a/gorsefall/relay/topic.py
+++ b/gorsefall/relay/topic.py
@@ -12,35 +12,35 @@
 from gorsefall.policy import freshness
 from gorsefall.relay import changes
 
-SILENCE_S = 0.9
+SILENCE_TIMEOUT_S = 0.9
 """Longest time without a byte of an answer beyond the wait asked for, s. The
 store answers in 4 ms, at times 60 times as slowly; a silent channel shows only
 by this, and two such waits stay well under the proof's bound."""
 
-RETRY_S = (0.05, 0.2)
+RETRY_PAUSE_RANGE_S = (0.05, 0.2)
 """Range of the pause after a failed call, s; spread, so that entries that
 lost the store together do not return together."""
 
-RETRY_MAX_S = 0.5
+MAX_RETRY_PAUSE_S = 0.5
 """Longest pause after failures in a row, s."""
 
-MOST_KB = 1024
+MAX_READ_KB = 1024
 """Most data of one read, KB: the heartbeats of thousands of replicas between
 two reads."""
 
-TRIES = 2
+MAX_PASSIVE_READ_ATTEMPTS = 2
 """Reads that a follower which does not lead tries, one soon after another."""
 
-LAPSE_S = 3.0
+RECORD_LAPSE_S = 3.0
 """Time between two confirmations after which records may have lapsed, s: three
 heartbeats of a replica, each longer than a second."""
 
-MAX_CAUSES = 1000
+MAX_LOGGED_FAULTS = 1000
 """Keys whose faults are remembered: a few times the replicas of today, a
 record's cause being some 100 bytes."""
 
 
-class Newest(typing.NamedTuple):
+class SnapshotPage(typing.NamedTuple):
     """A page of the newest records of all keys.
 
     Attributes:
@@ -73,7 +73,7 @@
     is given up after ``silence_s`` without a byte, not by how long it takes.
     """
 
-    def newest(self, after, silence_s, done):
+    def read_snapshot(self, after, silence_s, done):
         """Reads a page of newest records, after the key ``after``."""
         raise NotImplementedError
 
@@ -81,10 +81,10 @@
         """Appends a record; an empty ``value`` drops the key."""
         raise NotImplementedError
 
-    def read(self, offset, wait_s, most_kb, silence_s, done):
+    def read(self, offset, wait_s, max_kb, silence_s, done):
         """Reads from ``offset``, waiting up to ``wait_s`` for a record.
 
-        The answer holds ``most_kb`` KB of records, or one that is larger.
+        The answer holds ``max_kb`` KB of records, or one that is larger.
         """
         raise NotImplementedError
 
@@ -92,7 +92,7 @@
 class Listener:
     """Is told what a follower learns; subclasses override what they need."""
 
-    def on_listing(self, records):
+    def on_snapshot(self, records):
         """Called with the newest record of every key."""
 
     def on_record(self, record):
@@ -107,14 +107,14 @@
     def on_confirmed(self, sent_at):
         """Called when all up to a read sent at ``sent_at`` is known."""
 
-    def on_lost(self):
+    def on_store_lost(self):
         """Called once when the store stops answering."""
 
-    def on_regained(self):
+    def on_store_regained(self):
         """Called once when it answers again."""
 
 
-class Pace(typing.NamedTuple):
+class ReadPace(typing.NamedTuple):
     """How often a follower reads.
 
     Attributes:
@@ -125,7 +125,7 @@
     pause_s: float = 0.0
 
     @property
-    def age_s(self):
+    def max_confirmation_age_s(self):
         """Age of a confirmation just before the next one, s.
 
         What a read confirms is as old as the read, which waits.
@@ -133,7 +133,7 @@
         return 2 * self.wait_s + self.pause_s
 
 
-READS_ON = Pace()
+CONTINUOUS_READS = ReadPace()
 """Reads one after the other."""
 
 
@@ -147,7 +147,7 @@
         listed: Whether the topic was listed once.
         unreached: Own reads that failed since one was answered.
         pace: The ``Pace`` of its reads while it leads.
-        recent: The ``changes.Recent`` that others may be told.
+        recent: The ``changes.RecentChanges`` that others may be told.
     """
 
     def __init__(self,
@@ -156,9 +156,9 @@
                  listener,
                  *,
                  name,
-                 pace=READS_ON,
-                 most_kb=MOST_KB,
-                 on_news=lambda: None):
+                 pace=CONTINUOUS_READS,
+                 max_kb=MAX_READ_KB,
+                 on_change=lambda: None):
         """Creates a follower that leads; ``start`` begins.
 
         Args:
@@ -167,15 +167,15 @@
             listener: The ``Listener``.
             name: Name for logs.
             pace: Its ``Pace``.
-            most_kb: Most data of one read, KB. What is new beyond that is
+            max_kb: Most data of one read, KB. What is new beyond that is
                 listed, so that only the newest of each key is fetched.
-            on_news: Called after a read that changed what is believed.
+            on_change: Called after a read that changed what is believed.
         """
         self._loop = loop
         self._source = source
         self._listener = listener
-        self._most_kb = most_kb
-        self._on_news = on_news
+        self._most_kb = max_kb
+        self._on_news = on_change
         self._leads = True
         self._turn = 0
         self._idle = False
@@ -191,9 +191,9 @@
         self.pace = pace
         self.offset = 0
         self.confirmed_at = float('-inf')
-        self.listed = False
-        self.unreached = 0
-        self.recent = changes.Recent()
+        self.has_snapshot = False
+        self.failed_reads = 0
+        self.recent = changes.RecentChanges()
 
     def start(self):
         """Begins with a listing."""
@@ -207,14 +207,14 @@
         """Returns the age of the newest confirmation, s."""
         return freshness.clock() - self.confirmed_at
 
-    def news(self, offset, most_bytes=changes.TOLD_BYTES):
-        """Returns the ``changes.News`` for one who knows all before it."""
-        return self.recent.news(offset, max(0.0, self.age_s()), self.offset,
-                                most_bytes)
+    def changes_since(self, offset, most_bytes=changes.MAX_SENT_BYTES):
+        """Returns the ``changes.ChangeSet`` for one who knows all before it."""
+        return self.recent.changes_since(offset, max(0.0, self.age_s()),
+                                         self.offset, most_bytes)
 
     # -- reading by itself or being told ---------------------------------------
 
-    def lead(self, leads):
+    def set_continuous(self, leads):
         """Says whether to read again and again."""
         self._leads = leads
         if leads:
@@ -226,25 +226,25 @@
             self._idle = False
             self._read()
 
-    def told(self, sent_at, news):
+    def apply_changes(self, sent_at, news):
         """Takes in what another entry knows.
 
         Args:
             sent_at: When that entry's newest read was sent at the earliest,
                 s (``freshness.clock``).
-            news: Its ``changes.News`` since ``offset``, whole.
+            news: Its ``changes.ChangeSet`` since ``offset``, whole.
 
         Raises:
             errors.RecordError: It cannot be unpacked; nothing is taken in.
         """
-        if self._leads or not self.listed:
+        if self._leads or not self.has_snapshot:
             return
         records = [changes.unpack(c) for c in news.changes]
         # An own read that is under way is older: a listing among them would
         # take back what was just told.
         self._turn += 1
         self._idle = True
-        if sent_at - self.confirmed_at > LAPSE_S:
+        if sent_at - self.confirmed_at > RECORD_LAPSE_S:
             # Whoever reads was without the store, and so were the replicas,
             # whose records may have lapsed though they live.
             self._lost('not confirmed for long')
@@ -273,7 +273,8 @@
             self._listed = {}
             self._end = None
             self._sent_at = freshness.clock()
-        self._source.newest(after, SILENCE_S, self._expect(self._on_newest))
+        self._source.read_snapshot(after, SILENCE_TIMEOUT_S,
+                                   self._expect(self._on_newest))
 
     def _on_newest(self, page, exc):
         if exc is not None:
@@ -290,14 +291,16 @@
         if page.more and page.records:
             self._list(page.records[-1].key)
             return
-        self.unreached = 0
+        self.failed_reads = 0
         self._answered()
-        self.listed = True
+        self.has_snapshot = True
         self.offset = self._end
-        self.recent.restart(self.offset)
-        records = [r for r in self._listed.values() if r.value or not r.whole]
+        self.recent.reset(self.offset)
+        records = [
+            r for r in self._listed.values() if r.value or not r.well_formed
+        ]
         self._log.info('listed', keys=len(records), offset=self.offset)
-        self._listener.on_listing([r for r in records if self._is_new(r)])
+        self._listener.on_snapshot([r for r in records if self._is_new(r)])
         self._confirmed(self._sent_at)
         self._on_news()
         if self._leads:
@@ -315,7 +318,7 @@
         waits = self._leads and not self._failures and not self._overdue
         self._sent_at = freshness.clock()
         self._source.read(self.offset, self.pace.wait_s if waits else 0.0,
-                          self._most_kb, SILENCE_S,
+                          self._most_kb, SILENCE_TIMEOUT_S,
                           self._expect(self._on_batch))
 
     def _on_batch(self, batch, exc):
@@ -326,7 +329,7 @@
                 return
             self._failed(exc, self._read)
             return
-        self.unreached = 0
+        self.failed_reads = 0
         self._answered()
         changed = [self._take(record) for record in batch.records]
         self.offset = max(self.offset, batch.next)
@@ -370,7 +373,7 @@
 
     def _confirmed(self, sent_at):
         took_s = freshness.clock() - sent_at
-        self._overdue = took_s > self.pace.wait_s + SILENCE_S
+        self._overdue = took_s > self.pace.wait_s + SILENCE_TIMEOUT_S
         self.confirmed_at = max(self.confirmed_at, sent_at)
         self._listener.on_confirmed(sent_at)
 
@@ -386,27 +389,29 @@
         if self._failures:
             self._log.info('store_regained', failures=self._failures)
             self._failures = 0
-            self._listener.on_regained()
+            self._listener.on_store_regained()
 
     def _lost(self, error):
         if not self._failures:
             self._log.warning('store_lost', error=error)
-            self._listener.on_lost()
+            self._listener.on_store_lost()
         self._failures += 1
 
     def _failed(self, exc, again):
-        self.unreached += 1
+        self.failed_reads += 1
         self._lost(str(exc))
-        if not self._leads and self.listed and self.unreached >= TRIES:
+        if (not self._leads and self.has_snapshot and
+                self.failed_reads >= MAX_PASSIVE_READ_ATTEMPTS):
             # Others try on for all; told by them, it need not.
             self._idle = True
             return
-        pause = min(RETRY_MAX_S, random.uniform(*RETRY_S) * self._failures)
+        pause = min(MAX_RETRY_PAUSE_S,
+                    random.uniform(*RETRY_PAUSE_RANGE_S) * self._failures)
         turn = self._turn
         self._loop.later(pause, lambda: again() if turn == self._turn else None)
 
 
-class Spoilt:
+class MalformedRecords:
     """Logs records that cannot be decoded, once for each key and cause.
 
     A writer at fault writes again and again, and a line for each time would
@@ -417,11 +422,11 @@
         self._log = log
         self._causes = {}
 
-    def note(self, record, exc):
+    def record_fault(self, record, exc):
         """Logs that ``record`` is at fault, as the ``exc`` says."""
         if self._causes.get(record.key) == str(exc):
             return
-        if len(self._causes) >= MAX_CAUSES:
+        if len(self._causes) >= MAX_LOGGED_FAULTS:
             self._causes.clear()
         self._causes[record.key] = str(exc)
         self._log.error('record_spoilt',
@@ -429,7 +434,7 @@
                         offset=record.offset,
                         error=str(exc))
 
-    def mended(self, key):
+    def record_valid(self, key):
         """Notes that a key's newest record is sound, or gone."""
         if self._causes.pop(key, None) is not None:
             self._log.info('record_mended', key=key)
--- a/gorsefall/relay/beliefs.py
+++ b/gorsefall/relay/topiclisteners.py
@@ -7,15 +7,15 @@
 from gorsefall.relay import topic
 
 
-class Configuration(topic.Listener):
+class ConfigurationListener(topic.Listener):
     """Keeps the node's table and proof current."""
 
     def __init__(self, node, records):
         self._node = node
         self._records = records
-        self._spoilt = topic.Spoilt(logs.get('configuration'))
+        self._spoilt = topic.MalformedRecords(logs.get('configuration'))
 
-    def on_listing(self, records):
+    def on_snapshot(self, records):
         """See ``topic.Listener``."""
         for record in records:
             self.on_record(record)
@@ -23,12 +23,12 @@
     def on_record(self, record):
         """See ``topic.Listener``."""
         try:
-            table = self._records.table(record)
+            table = self._records.decode_table(record)
         except errors.RecordError as exc:
             # What is in force stays: a configuration is never half known.
-            self._spoilt.note(record, exc)
+            self._spoilt.record_fault(record, exc)
             return True
-        self._spoilt.mended(record.key)
+        self._spoilt.record_valid(record.key)
         if table is not None:
             self._node.adopt(table)
         return True
@@ -43,16 +43,16 @@
     error: str
 
 
-class Replicas(topic.Listener):
+class ReplicasListener(topic.Listener):
     """Keeps the node's fleet current."""
 
     def __init__(self, node, records):
         self._node = node
         self._records = records
         self._known = {}
-        self._spoilt = topic.Spoilt(logs.get('replicas'))
+        self._spoilt = topic.MalformedRecords(logs.get('replicas'))
 
-    def on_listing(self, records):
+    def on_snapshot(self, records):
         """See ``topic.Listener``."""
         names = {r.key for r in records}
         self._known = {k: v for k, v in self._known.items() if k in names}
@@ -63,17 +63,17 @@
 
     def on_record(self, record):
         """See ``topic.Listener``."""
-        if record.whole and not record.value:
-            self._spoilt.mended(record.key)
+        if record.well_formed and not record.value:
+            self._spoilt.record_valid(record.key)
             self._node.fleet.remove(record.key, self._node.loop.now)
             return self._known.pop(record.key, None) is not None
         try:
-            decoded = self._records.replica(record)
+            decoded = self._records.decode_replica(record)
         except errors.RecordError as exc:
-            self._spoilt.note(record, exc)
-            self._node.fleet.spoilt(record.key)
+            self._spoilt.record_fault(record, exc)
+            self._node.fleet.mark_malformed(record.key)
             return self._learned(record.key, _Spoilt(str(exc)))
-        self._spoilt.mended(record.key)
+        self._spoilt.record_valid(record.key)
         self._node.fleet.put(decoded)
         return self._learned(record.key, decoded)
 
@@ -84,19 +84,19 @@
         self._known[key] = known
         return True
 
-    def on_lost(self):
+    def on_store_lost(self):
         """See ``topic.Listener``."""
-        self._node.fleet.store_lost()
+        self._node.fleet.on_store_lost()
 
-    def on_regained(self):
+    def on_store_regained(self):
         """See ``topic.Listener``."""
-        self._node.fleet.store_back(self._node.loop.now)
+        self._node.fleet.on_store_regained(self._node.loop.now)
 
 
-class Records:
+class RecordDecoder:
     """The seam to how records are spelled."""
 
-    def table(self, record):
+    def decode_table(self, record):
         """Returns the ``routes.Table`` of a record, None if it is no table.
 
         Raises:
@@ -104,7 +104,7 @@
         """
         raise NotImplementedError
 
-    def replica(self, record):
+    def decode_replica(self, record):
         """Returns the ``model.ReplicaRecord`` of a record.
 
         Raises:
--- a/gorsefall/relay/workload.py
+++ b/gorsefall/relay/workload.py
@@ -28,16 +28,16 @@
         self._window_s = window_s
         self._services = {}
         self._ranks = {}
-        self.view = peerview.PeerView(name, self._find)
+        self.peer_view = peerview.PeerView(name, self._find)
 
     def _find(self, replica_id):
         replica = self._fleet.replicas.get(replica_id)
-        return replica.target if replica is not None else None
+        return replica.view if replica is not None else None
 
-    def service(self, name):
+    def service_state(self, name):
         """Returns the ``placement.Service`` of a service, as known now."""
         known = self._services.setdefault(name, placement.Service())
-        members = self.view.members
+        members = self.peer_view.members
         known.unseen.arrivals = unseen.Arrivals(
             per_s=members.firsts(name) / self._window_s,
             age_s=members.mean_age_s(time.monotonic()))
@@ -51,7 +51,7 @@
         """Returns the ``overload.Ranks`` of a service."""
         return self._ranks.setdefault(service, overload.Ranks())
 
-    def targets(self, service, exclude, *, urgent=True):
+    def candidate_views(self, service, exclude, *, urgent=True):
         """Returns the targets that may take a request, with others' work.
 
         Args:
@@ -60,37 +60,37 @@
             urgent: See ``fleet.Fleet.candidates``.
         """
         targets = [
-            r.target
+            r.view
             for r in self._fleet.candidates(service, exclude, urgent=urgent)
         ]
-        self.view.show(targets, time.monotonic())
+        self.peer_view.show(targets, time.monotonic())
         return targets
 
-    def sources(self, service):
+    def draining_views(self, service):
         """Returns the targets of replicas that leave: they still lend."""
         return [
-            r.target
-            for r in self._fleet.of(service)
+            r.view
+            for r in self._fleet.of_service(service)
             if r.record.status is model.ReplicaStatus.DRAINING
         ]
 
-    def addr_of(self, target):
+    def replica_addr(self, target):
         """Returns the address of a target's replica; None if it is gone."""
         replica = self._fleet.replicas.get(target.name) if target else None
         return replica.record.addr if replica is not None else None
 
-    def others_firsts(self, service):
+    def others_first_attempts(self, service):
         """Returns the others' requests in the retry window, None if alone."""
-        members = self.view.members
+        members = self.peer_view.members
         return None if members.alone else members.firsts(service)
 
-    def prompt_sent(self, replica, parts):
+    def record_prompt(self, replica, parts):
         """Notes the shared parts that a replica reads for a request."""
-        self.view.prompt_sent(replica.target, parts, time.monotonic())
+        self.peer_view.prompt_sent(replica.view, parts, time.monotonic())
 
-    def answered(self, replica, ok):
+    def record_response(self, replica, ok):
         """Notes whether a replica's answer was what the caller needed."""
-        self.view.answered(replica.target, ok, time.monotonic())
+        self.peer_view.answered(replica.view, ok, time.monotonic())
 
     def status(self, boot, seq, hosts, **more):
         """Returns the ``membership.Status`` to tell the other entries.
@@ -101,10 +101,10 @@
             hosts: See there.
             **more: Its other keywords.
         """
-        targets = [r.target for r in self._fleet.replicas.values()]
-        return self.view.status(boot,
-                                seq,
-                                targets,
-                                time.monotonic(),
-                                hosts=hosts,
-                                **more)
+        targets = [r.view for r in self._fleet.replicas.values()]
+        return self.peer_view.status(boot,
+                                     seq,
+                                     targets,
+                                     time.monotonic(),
+                                     hosts=hosts,
+                                     **more)
--- a/tests/entries.py
+++ b/tests/entries.py
@@ -15,8 +15,8 @@
 BOUND_S = 4.6
 """Age up to which a proof holds, s."""
 
-ALONE = topic.Pace(wait_s=1.15)
-SHARED = topic.Pace(wait_s=0.7)
+ALONE = topic.ReadPace(wait_s=1.15)
+SHARED = topic.ReadPace(wait_s=0.7)
 
 
 class Network:
@@ -81,11 +81,11 @@
         self.away = False
         self.calls = 0
 
-    def newest(self, after, silence_s, done):
-        self._call(self._store.newest, done, after, silence_s)
+    def read_snapshot(self, after, silence_s, done):
+        self._call(self._store.read_snapshot, done, after, silence_s)
 
-    def read(self, offset, wait_s, most_kb, silence_s, done):
-        self._call(self._store.read, done, offset, wait_s, most_kb, silence_s)
+    def read(self, offset, wait_s, max_kb, silence_s, done):
+        self._call(self._store.read, done, offset, wait_s, max_kb, silence_s)
 
     def _call(self, call, done, *args):
         self.calls += 1
@@ -111,7 +111,7 @@
         self.loop = OwnLoop(self.site.loop)
         self.reads = Reads(self.loop, self.site.store)
         self.belief = stores.Belief(self.site.store)
-        self.sharing = sharing.Sharing(
+        self.sharing = sharing.SharedReads(
             self.loop, self.own, lambda: self.site.others(self),
             lambda message, host: self.site.network.send(
                 self.own.host, message, host), self.site.rng)
@@ -120,15 +120,16 @@
                                   self.belief,
                                   name='t',
                                   pace=ALONE,
-                                  on_news=self.sharing.changed)
-        self.sharing.follow({'t': sharing.Topic(follower, ALONE, SHARED)},
-                            'store', ASK_S)
+                                  on_change=self.sharing.send_hints)
+        self.sharing.set_followers(
+            {'t': sharing.FollowedTopic(follower, ALONE, SHARED)}, 'store',
+            ASK_S)
         self.follower = follower
         follower.start()
         self.sharing.start()
 
     def received(self, message, host):
-        self.loop.call(lambda: self.sharing.received(message, host))
+        self.loop.call(lambda: self.sharing.handle_message(message, host))
 
     def age_s(self):
         return self.site.loop.now - self.follower.confirmed_at
@@ -155,7 +156,7 @@
         return [
             e.own
             for e in self.entries
-            if e is not entry and not e.loop.dead and e.sharing.able()
+            if e is not entry and not e.loop.dead and e.sharing.reaches_store()
         ]
 
     def run(self, for_s):
@@ -165,4 +166,4 @@
         return sum(e.reads.calls for e in self.entries)
 
     def leaders(self):
-        return [e for e in self.entries if e.sharing.leads]
+        return [e for e in self.entries if e.sharing.is_reader]
--- a/tests/stores.py
+++ b/tests/stores.py
@@ -45,21 +45,21 @@
         else:
             self._loop.later(0.004, lambda: done(make(), None))
 
-    def newest(self, after, silence_s, done):
+    def read_snapshot(self, after, silence_s, done):
 
         def make():
             newest = {r.key: r for r in self.records}
             found = sorted(
                 r for r in newest.values() if r.value and r.key > after)
-            return topic.Newest(found[:2], len(found) > 2, len(self.records))
+            return topic.SnapshotPage(found[:2],
+                                      len(found) > 2, len(self.records))
 
         self._answer(make, silence_s, done)
 
-    def read(self, offset, wait_s, most_kb, silence_s, done):
+    def read(self, offset, wait_s, max_kb, silence_s, done):
         if wait_s and offset >= len(self.records):
             self._loop.later(
-                wait_s,
-                lambda: self.read(offset, 0.0, most_kb, silence_s, done))
+                wait_s, lambda: self.read(offset, 0.0, max_kb, silence_s, done))
             return
         if offset < self.first:
             self._loop.later(
@@ -81,7 +81,7 @@
         self.offsets = {}
         self.confirmed = []
 
-    def on_listing(self, records):
+    def on_snapshot(self, records):
         for key in set(self.newest) - {r.key for r in records}:
             del self.newest[key]
         for record in records:
--- a/tests/test_announced.py
+++ b/tests/test_announced.py
@@ -9,7 +9,7 @@
 
 from gorsefall.policy import announced
 from gorsefall.policy import membership
-from gorsefall.relay import announcing
+from gorsefall.relay import replicalimits
 
 WINDOW_S = 4.0
 FACTOR, SPARE = 1.5, 5
@@ -133,23 +133,24 @@
                                     limit=announced.Announced())
     fleet = types.SimpleNamespace(replicas={'r': replica})
     loop = _Loop()
-    own = announcing.Announcing(loop, fleet, membership.Members(name))
+    own = replicalimits.LimitTracker(loop, fleet, membership.Members(name))
     return own, replica, loop
 
 
 def _tell(source, target, now):
-    target.heard(membership.Status('a', 1, 1, limits=source.told(now)))
+    target.handle_status(
+        membership.Status('a', 1, 1, limits=source.recent_reports(now)))
 
 
 def test_others_are_told_of_a_limit_and_of_its_end():
     """Entries that flood a replica as only one of them had its answer."""
     one, replica, own_loop = _entry('a')
     other, same, loop = _entry('b')
-    one.answered(replica, 1.5)
+    one.record_response(replica, 1.5)
     _tell(one, other, 100.0)
     assert same.limit.per_s == 1.5
     own_loop.now = loop.now = 101.0
-    one.answered(replica, None)
+    one.record_response(replica, None)
     _tell(one, other, 101.0)
     assert same.limit.per_s is None
 
@@ -158,7 +159,7 @@
     """A replica left alone after a restart for what it said before."""
     one, replica, _ = _entry('a')
     other, same, _ = _entry('b')
-    one.answered(replica, 1.5)
+    one.record_response(replica, 1.5)
     same.record.born = 8
     _tell(one, other, 100.0)
     assert same.limit.per_s is None
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -53,7 +53,7 @@
     draining. Cause: a record was passed over.
     """
     directory = fleet.Fleet(Loop())
-    directory.services_changed(SERVICES)
+    directory.set_services(SERVICES)
     truth = {}
     for what, name in steps:
         if what == 'remove':
@@ -83,11 +83,11 @@
     """
     loop = Loop()
     directory = fleet.Fleet(loop)
-    directory.services_changed(SERVICES)
+    directory.set_services(SERVICES)
     for name in 'ab':
         directory.put(record(name))
-    directory.store_lost()
-    directory.store_back(10.0)
+    directory.on_store_lost()
+    directory.on_store_regained(10.0)
     directory.remove('a', 10.1)
     assert names(directory) == {'b'}
     directory.remove('b', 10.1)
@@ -104,7 +104,7 @@
     directory = fleet.Fleet(Loop())
     directory.put(record('a', service='t'))
     assert not names(directory, 't')
-    directory.services_changed(SERVICES)
+    directory.set_services(SERVICES)
     assert names(directory, 't') == {'a'}
 
 
@@ -117,11 +117,11 @@
     more than the answer from the address.
     """
     directory = fleet.Fleet(Loop())
-    directory.services_changed(SERVICES)
+    directory.set_services(SERVICES)
     for name in 'ab':
         directory.put(record(name))
-    directory.replaced('a')
-    directory.services_changed(SERVICES)
+    directory.drop_replaced('a')
+    directory.set_services(SERVICES)
     directory.put(record('a'))
     assert names(directory) == {'b'}
     directory.remove('a', 0.0)
@@ -130,7 +130,7 @@
 
 def _fleet(*records):
     directory = fleet.Fleet(Loop())
-    directory.services_changed(SERVICES)
+    directory.set_services(SERVICES)
     for rec in records:
         directory.put(rec)
     return directory
@@ -146,14 +146,14 @@
     """
     directory = _fleet(record('a', born=1000))
     before = directory.replicas['a']
-    before.target.failed(0.0)
-    before.target.sent(5000)
-    before.target.kept.used((prompts.Part('p', 900),))
+    before.view.failed(0.0)
+    before.view.sent(5000)
+    before.view.kept.used((prompts.Part('p', 900),))
     directory.put(record('a', born=2000))
     after = directory.replicas['a']
     assert after is not before
-    assert after.target.outstanding == after.target.failures == 0
-    assert not after.target.kept.tokens((prompts.Part('p', 900),))
+    assert after.view.outstanding == after.view.failures == 0
+    assert not after.view.kept.tokens((prompts.Part('p', 900),))
 
 
 def test_a_record_of_an_earlier_start_is_passed_over():
@@ -175,7 +175,7 @@
 
 def test_a_replica_replaced_at_its_address_may_start_again():
     directory = _fleet(record('a', born=1000))
-    directory.replaced('a')
+    directory.drop_replaced('a')
     directory.put(record('a', born=1000))
     assert not names(directory)
     directory.put(record('a', born=2000))
@@ -194,10 +194,10 @@
     """Symptom: requests to a replica whose record nobody can read. Cause: the
     record before it stayed in force."""
     directory = _fleet(record('a'), record('b'))
-    directory.spoilt('a')
-    directory.spoilt('unknown')
+    directory.mark_malformed('a')
+    directory.mark_malformed('unknown')
     assert names(directory) == {'b'}
-    directory.spoilt('b')
+    directory.mark_malformed('b')
     assert not names(directory)
     directory.put(record('a'))
     assert names(directory) == {'a'}
@@ -212,12 +212,12 @@
     what is known before an outage counted for less than a last resort.
     """
     directory = _fleet(record('a', model.ReplicaStatus.DRAINING), record('b'))
-    directory.store_lost()
+    directory.on_store_lost()
     directory.remove('b', 0.0)
     assert names(directory) == {'b'}
     directory.remove('a', 0.0)
     assert names(directory) == {'b'}
-    directory.store_back(1.0)
+    directory.on_store_regained(1.0)
     assert names(directory) == {'b'}
 
 
@@ -228,29 +228,29 @@
 def test_a_replica_that_another_entry_found_ended_gets_no_work():
     """Each of many entries that sends to a crashed replica's address."""
     directory = fleet.Fleet(Loop())
-    directory.services_changed(SERVICES)
+    directory.set_services(SERVICES)
     for name in 'ab':
         directory.put(record(name, born=5))
     now = time.monotonic()
-    directory.heard(_status(membership.Ended('a', 4, 0)), now)
+    directory.handle_status(_status(membership.Ended('a', 4, 0)), now)
     assert names(directory) == {'a', 'b'}
-    directory.heard(_status(membership.Ended('a', 5, 100)), now)
+    directory.handle_status(_status(membership.Ended('a', 5, 100)), now)
     assert names(directory) == {'b'}
-    told, = directory.ended_of_late(now)
+    told, = directory.recent_exits(now)
     assert (told.replica, told.born) == ('a', 5)
 
 
 def test_a_replica_that_goes_on_writing_has_not_ended():
     """A sound replica left alone for good for what one entry believed."""
     directory = fleet.Fleet(Loop())
-    directory.services_changed(SERVICES)
+    directory.set_services(SERVICES)
     for name in 'ab':
         directory.put(record(name))
     now = time.monotonic()
-    directory.heard(_status(membership.Ended('a', 0, 0)), now)
+    directory.handle_status(_status(membership.Ended('a', 0, 0)), now)
     directory.put(record('a'))
     assert names(directory) == {'b'}
-    directory.replicas['a'].ended_at = now - fleet.ALIVE_S - 1
+    directory.replicas['a'].exited_at = now - fleet.EXIT_RECORD_LAG_S - 1
     directory.put(record('a'))
     assert names(directory) == {'a', 'b'}
 
@@ -258,7 +258,8 @@
 def test_replicas_found_ended_are_a_last_resort():
     """Requests refused though a replica may be there after all."""
     directory = fleet.Fleet(Loop())
-    directory.services_changed(SERVICES)
+    directory.set_services(SERVICES)
     directory.put(record('a'))
-    directory.heard(_status(membership.Ended('a', 0, 0)), time.monotonic())
+    directory.handle_status(_status(membership.Ended('a', 0, 0)),
+                            time.monotonic())
     assert names(directory) == {'a'}
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -82,13 +82,13 @@
         self.loop = _Loop()
         self.replica = knowledge.Target('r', 'z', slots=8, engine=True)
         self.work = types.SimpleNamespace(
-            view=peerview.PeerView('me', {'r': self.replica}.get))
+            peer_view=peerview.PeerView('me', {'r': self.replica}.get))
 
     def status(self, boot, seq, hosts):
-        return self.work.view.status(boot,
-                                     seq, [self.replica],
-                                     0.0,
-                                     hosts=hosts)
+        return self.work.peer_view.status(boot,
+                                          seq, [self.replica],
+                                          0.0,
+                                          hosts=hosts)
 
 
 @pytest.fixture
@@ -102,14 +102,14 @@
     for i in range(1000):
         talk._received(b'\xc1', f'10.0.0.{i % 3 + 2}')
     assert capsys.readouterr().out.count('message_unreadable') == 3
-    assert talk._node.work.view.members.alone
+    assert talk._node.work.peer_view.members.alone
 
 
 def test_a_message_tells_of_entries_that_were_not_known(talk):
     hosts = ('10.0.0.9', 'no address', '127.0.0.1')
     status = membership.Status('a', 1, 1, hosts=hosts)
     talk._received(messages.encode(status), '10.0.0.2')
-    known = talk._node.work.view.members.addresses(0.0)
+    known = talk._node.work.peer_view.members.addresses(0.0)
     assert set(known) == {'10.0.0.2', '10.0.0.9'}
 
 
@@ -126,8 +126,8 @@
     """Entries of a large deployment that spend their time on each other."""
     _hear(talk, others)
     talk._speak()
-    assert others / talk.heartbeat_s() <= peers.MESSAGES_PER_S * 1.25
-    assert talk.heartbeat_s() >= talk.period_s()
+    assert others / talk.heartbeat_s() <= peers.MAX_MESSAGES_PER_S * 1.25
+    assert talk.heartbeat_s() >= talk.min_pause_s()
 
 
 @pytest.mark.parametrize('others', [8, 40, 86, 300])
@@ -135,7 +135,7 @@
     """Entries that fall out of the sums by turns though all speak."""
     _hear(talk, others)
     talk._speak()
-    assert talk._node.work.view.members.silent_s > 2 * talk.heartbeat_s()
+    assert talk._node.work.peer_view.members.silent_s > 2 * talk.heartbeat_s()
 
 
 def test_a_replayed_message_tells_no_uses(talk):
@@ -156,10 +156,10 @@
     _hear(talk, 3)
     talk._speak()
     beat = talk._due
-    talk.changed()
+    talk.schedule_status()
     soon = talk._due
     assert soon.due < beat.due
-    talk.changed()
+    talk.schedule_status()
     assert talk._due is soon
 
 
@@ -213,7 +213,7 @@
 @pytest.mark.parametrize('others', [20, 300])
 def test_many_entries_tell_of_those_that_are_new(talk, others):
     """An entry that starts in a large deployment and hears few for long."""
-    members = talk._node.work.view.members
+    members = talk._node.work.peer_view.members
     now = time.monotonic()
     for i in range(others):
         host = f'10.0.{i // 250}.{i % 250 + 2}'
--- a/tests/test_revocation.py
+++ b/tests/test_revocation.py
@@ -31,7 +31,7 @@
                         services={},
                         limits=model.CallerLimits(),
                         accounts=dict.fromkeys(keys, account),
-                        keyed=True)
+                        requires_key=True)
 
 
 def _settings(**fields):
@@ -78,11 +78,11 @@
                         apply_s=apply_s,
                         settle_s=settle_s)
         wait_s = pacing.config_wait_s(cfg)
-        noticed_s = wait_s + topic.SILENCE_S
+        noticed_s = wait_s + topic.SILENCE_TIMEOUT_S
         assert (noticed_s < max(apply_s, settle_s) or
-                wait_s == pacing.CONFIG_WAIT_MIN_S)
+                wait_s == pacing.MIN_CONFIG_WAIT_S)
 
 
 def test_waits_are_short_where_revocation_is_strict():
     cfg = _settings(strict_revocation=True)
-    assert pacing.config_wait_s(cfg) <= pacing.CONFIG_WAIT_S
+    assert pacing.config_wait_s(cfg) <= pacing.MAX_CONFIG_WAIT_S
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -33,7 +33,7 @@
                         services={},
                         limits=model.CallerLimits(),
                         accounts={a.name: a for a in accounts},
-                        keyed=False)
+                        requires_key=False)
 
 
 def _request(host, target):
@@ -63,7 +63,9 @@
         assert _table(found).match(req).prefix == best.prefix
 
 
-def _ranked(account_priorities, route_priorities, ask=routes.Table.rank):
+def _ranked(account_priorities,
+            route_priorities,
+            ask=routes.Table.admission_rank):
     accounts = [
         model.Account(name=f'a{i}', priority=p)
         for i, p in enumerate(account_priorities)
@@ -101,7 +103,7 @@
     others. What showed it: at the moment of the first, only chats and the
     digests of preferred accounts were running.
     """
-    ranks = _ranked([0, 1], [0, 1], routes.Table.urgency)
+    ranks = _ranked([0, 1], [0, 1], routes.Table.replica_rank)
     assert ranks[0, 0] < ranks[1, 0] < ranks[0, 1] < ranks[1, 1]
 
 
@@ -113,8 +115,9 @@
     return pair[1], pair[0]
 
 
-@pytest.mark.parametrize('ask, order', [(routes.Table.rank, _accounts_first),
-                                        (routes.Table.urgency, _routes_first)])
+@pytest.mark.parametrize('ask, order',
+                         [(routes.Table.admission_rank, _accounts_first),
+                          (routes.Table.replica_rank, _routes_first)])
 @given(account_priorities=st.lists(st.none() | st.integers(0, 9),
                                    min_size=1,
                                    max_size=8),
@@ -122,7 +125,7 @@
 def test_ranks_keep_the_order_and_the_bound(ask, order, account_priorities,
                                             route_priorities):
     ranks = _ranked(account_priorities, route_priorities, ask)
-    assert all(0 <= r < routes.RANKS for r in ranks.values())
+    assert all(0 <= r < routes.RANK_COUNT for r in ranks.values())
 
     def key(pair):
         return order((pair[1] if pair[0] is None else pair[0], pair[1]))
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -111,9 +111,8 @@
     assert len(site.leaders()) == leaders
     most = (20.0 / entries.SHARED.wait_s + 1) * leaders
     assert site.calls() - before <= most
-    assert max(
-        e.age_s()
-        for e in site.entries) < entries.SHARED.age_s + 1.5 * entries.ASK_S
+    assert max(e.age_s() for e in site.entries
+              ) < entries.SHARED.max_confirmation_age_s + 1.5 * entries.ASK_S
 
 
 def test_an_entry_alone_reads_as_before():
@@ -182,43 +181,45 @@
     assert max(e.age_s() for e in site.entries) < entries.BOUND_S
     _play(site, 10.0)
     assert site.calls() - before <= 4 * len(site.entries)
-    assert max(
-        e.age_s()
-        for e in site.entries) < entries.SHARED.age_s + 1.5 * entries.ASK_S
+    assert max(e.age_s() for e in site.entries
+              ) < entries.SHARED.max_confirmation_age_s + 1.5 * entries.ASK_S
 
 
 def test_what_was_missed_is_told_whole_or_not_at_all():
-    recent = changes.Recent()
-    recent.restart(10)
+    recent = changes.RecentChanges()
+    recent.reset(10)
     small = [changes.Record(f'k{o}', b'x' * 100, o) for o in range(10, 15)]
     for record in small:
         recent.add(record)
-    assert not recent.news(9, 0.5, 15).whole
-    told = recent.news(12, 0.5, 15).changes
+    assert not recent.changes_since(9, 0.5, 15).complete
+    told = recent.changes_since(12, 0.5, 15).changes
     assert [changes.unpack(c) for c in told] == small[2:]
-    assert recent.news(15, 0.5, 15).changes == ()
+    assert recent.changes_since(15, 0.5, 15).changes == ()
     noise = random.Random(1).randbytes
-    recent.add(changes.Record('k10', noise(changes.TOLD_BYTES + 1), 15))
-    assert not recent.news(15, 0.5, 16).whole
-    cut_off = recent.news(15, 0.5, 16, changes.CUT_OFF_BYTES)
+    recent.add(changes.Record('k10', noise(changes.MAX_SENT_BYTES + 1), 15))
+    assert not recent.changes_since(15, 0.5, 16).complete
+    cut_off = recent.changes_since(15, 0.5, 16, changes.MAX_SENT_BYTES_CUT_OFF)
     assert [c.offset for c in cut_off.changes] == [15]
     for offset in range(16, 30):
         recent.add(changes.Record(f'n{offset}', noise(8000), offset))
-    assert not recent.news(16, 0.5, 600, changes.CUT_OFF_BYTES).whole
-    assert recent.news(29, 0.5, 600, changes.CUT_OFF_BYTES).whole
+    assert not recent.changes_since(16, 0.5, 600,
+                                    changes.MAX_SENT_BYTES_CUT_OFF).complete
+    assert recent.changes_since(29, 0.5, 600,
+                                changes.MAX_SENT_BYTES_CUT_OFF).complete
 
 
 def test_what_cannot_be_unpacked_confirms_nothing():
     """A configuration taken for confirmed that did not arrive."""
     site = _site(3)
     _play(site, 10.0)
-    follower = next(e for e in site.entries if not e.sharing.leads).follower
+    follower = next(e for e in site.entries if not e.sharing.is_reader).follower
     before = follower.confirmed_at, follower.offset
     good = changes.pack(changes.Record('b', b'y' * 9000, 1))
     for packed in (b'', b'no', good.packed[:-3]):
         spoilt = good._replace(packed=packed)
         with pytest.raises(errors.RecordError):
-            follower.told(site.loop.now, changes.News(0.0, 2, (spoilt,)))
+            follower.apply_changes(site.loop.now,
+                                   changes.ChangeSet(0.0, 2, (spoilt,)))
     assert (follower.confirmed_at, follower.offset) == before
 
 
@@ -226,9 +227,9 @@
     """Requests with a key refused where others hold the configuration."""
     site = _site(10)
     _play(site, 10.0)
-    entry = next(e for e in site.entries if not e.sharing.leads)
+    entry = next(e for e in site.entries if not e.sharing.is_reader)
     entry.reads.away = True
-    large = site.rng.randbytes(4 * changes.TOLD_BYTES)
+    large = site.rng.randbytes(4 * changes.MAX_SENT_BYTES)
     site.store.put('b', large)
     _play(site, 3.0)
     assert entry.belief.newest['b'] == large
@@ -237,7 +238,7 @@
 
 def test_a_negative_age_is_not_believed():
     """A proof from the future, of an entry at fault."""
-    told = messages.Told(1, {'t': changes.News(-5.0, 3)})
+    told = messages.Told(1, {'t': changes.ChangeSet(-5.0, 3)})
     with pytest.raises(msgspec.DecodeError):
         messages.decode(messages.encode(told))
 
@@ -245,10 +246,10 @@
 def test_an_answer_to_an_earlier_process_is_passed_over():
     site = _site(3)
     _play(site, 10.0)
-    entry = next(e for e in site.entries if not e.sharing.leads)
+    entry = next(e for e in site.entries if not e.sharing.is_reader)
     before = entry.follower.confirmed_at
     for number in (0, 1 << 62):
-        entry.received(messages.Told(number, {'t': changes.News(0.0, 99)}),
+        entry.received(messages.Told(number, {'t': changes.ChangeSet(0.0, 99)}),
                        'a0')
     assert entry.follower.confirmed_at == before
     assert entry.follower.offset < 99
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -185,7 +185,8 @@
         site.loop.later(0.5 * i, lambda: site.ask(b'guilty', 0.0, guilty=True))
     site.loop.run(10.0)
     site.entries[0].start()
-    site.loop.run(10.0 + 3 * site.heartbeat_s + crashing.crashes.ASK_PAUSE_S)
+    site.loop.run(10.0 + 3 * site.heartbeat_s +
+                  crashing.crashes.MIN_QUERY_PAUSE_S)
     assert site.entries[0].crashes.suspects.blocked(b'guilty', site.loop.now)
 
 
@@ -206,10 +207,13 @@
 
 def test_what_is_sent_as_its_replica_ends_speaks_less():
     """A good request blamed as it came from one end of a burst to the next."""
-    run = crashes.Run(b'x', sent_at=1.0, first_at=None, again=True)
+    run = crashes.BrokenRun(b'x',
+                            sent_at=1.0,
+                            first_event_at=None,
+                            after_broken_run=True)
     assert run.weight(1.01) is OLD
     assert run.weight(1.5) is YOUNG
-    assert run._replace(again=False).weight(1.01) is YOUNG
+    assert run._replace(after_broken_run=False).weight(1.01) is YOUNG
 
 
 def test_who_saw_part_of_what_blames_has_it_kept():
@@ -217,13 +221,13 @@
     site = crashing.Site(9, 6, 6, lost=0.0)
     kept = []
     for entry in site.entries:
-        entry.crashes.on_blamed = kept.append
+        entry.crashes.on_poison_request = kept.append
     # Each of three entries sees one crash, and none hears of the others' first.
     for entry in site.entries[:3]:
         replica = site.sound()[0]
-        run = crashes.Run(b'x', sent_at=-1.0, first_at=None)
+        run = crashes.BrokenRun(b'x', sent_at=-1.0, first_event_at=None)
         replica.up = False
-        entry.crashes.broke(replica, run, lambda: None)
+        entry.crashes.handle_broken_run(replica, run, lambda: None)
     site.loop.run(3 * site.heartbeat_s)
     assert kept and set(kept) == {b'x'}
     assert all(e.crashes.suspects.blocked(b'x', 2.0) for e in site.entries)
--- a/tests/test_topic.py
+++ b/tests/test_topic.py
@@ -9,7 +9,7 @@
 from gorsefall.policy import freshness
 from gorsefall.relay import topic
 
-PACE = topic.Pace(pause_s=0.1)
+PACE = topic.ReadPace(pause_s=0.1)
 
 _FAULTS = st.lists(st.sampled_from(['ok', 'late', 'lost', 'busy']), max_size=30)
 _STEPS = st.lists(st.tuples(
@@ -69,7 +69,7 @@
                        store,
                        belief,
                        name='t',
-                       pace=topic.Pace(wait_s=1.2)).start()
+                       pace=topic.ReadPace(wait_s=1.2)).start()
         loop.run(2.0)
         store.put('a', b'2')
         while belief.newest['a'] != b'2':
