--- a/gorsefall/emulator/crashing.py
+++ b/gorsefall/emulator/crashing.py
@@ -69,12 +69,12 @@
         for other in self.site.entries:
             if other is not self:
                 self._send(
-                    lambda entry: entry.crashes.merge_reports(message.sightings
-                                                             ), other)
+                    lambda entry: entry.crashes.merge_reports(
+                        message.run_reports), other)
 
     def send(self, message, host):
         """See ``peers.Peers``; a host is an entry's number."""
-        answer = getattr(message, 'sightings', None)
+        answer = getattr(message, 'run_reports', None)
         if answer is None:
             self._send(lambda entry: entry.crashes.send_suspects(self.number),
                        self.site.entries[host])
@@ -84,12 +84,12 @@
 
     def speak(self):
         """Tells all others what was seen here."""
-        status = membership.Status(f'e{self.number}',
-                                   1,
-                                   1,
-                                   sightings=self.crashes.recent_reports(
-                                       self.site.loop.now),
-                                   suspects=self.crashes.suspects.summary)
+        status = membership.Status(
+            f'e{self.number}',
+            1,
+            1,
+            run_reports=self.crashes.recent_reports(self.site.loop.now),
+            suspects_summary=self.crashes.suspects.summary)
         for other in self.site.entries:
             if other is not self:
                 self._send(
@@ -155,7 +155,7 @@
         known.handle_broken_run(replica, run, self._after)
 
     def _after(self):
-        held = self._entry.crashes.suspects.held(self._digest)
+        held = self._entry.crashes.suspects.must_serialize(self._digest)
         if self._left and not held:
             self.go_on()
         else:
--- a/gorsefall/relay/crashes.py
+++ b/gorsefall/relay/crashes.py
@@ -43,15 +43,16 @@
     after_broken_run: bool = False
 
     def weight(self, now):
-        """Returns the ``suspects.Weight`` of a crash that cut it now."""
-        if self.after_broken_run and now - self.sent_at < suspects.TOGETHER_S:
+        """Returns the ``suspects.CrashWeight`` of a crash that cut it now."""
+        if (self.after_broken_run and
+                now - self.sent_at < suspects.COMMON_CAUSE_S):
             # It was sent here as its last replica ended; one cause may have
             # taken both.
-            return suspects.Weight.OLD
+            return suspects.CrashWeight.OLD
         if (self.first_event_at is None or
-                now - self.first_event_at < suspects.YOUNG_S):
-            return suspects.Weight.YOUNG
-        return suspects.Weight.OLD
+                now - self.first_event_at < suspects.YOUNG_RUN_S):
+            return suspects.CrashWeight.YOUNG
+        return suspects.CrashWeight.OLD
 
 
 class CrashTracker:
@@ -97,7 +98,7 @@
     # -- before a send ---------------------------------------------------------
 
     def _check(self, digest):
-        if self.suspects.blocked(digest, self._clock()):
+        if self.suspects.is_blocked(digest, self._clock()):
             metrics.CRASHING.labels('refused').inc()
             ended = self.suspects.crashes(digest)
             raise errors.CrashesReplicasError(
@@ -115,7 +116,7 @@
             errors.CrashesReplicasError: It is known to crash replicas.
         """
         self._check(digest)
-        if not self.suspects.held(digest):
+        if not self.suspects.must_serialize(digest):
             return True
         runs = self._under_way.setdefault(digest, exchange)
         if runs is exchange:
@@ -171,10 +172,10 @@
     def _crashed(self, record, run, now):
         digest, weight = run.digest, run.weight(now)
         crash = suspects.Crash(record.id, record.born)
-        before = self.suspects.blocked(digest, now)
-        if not self.suspects.crashed(digest, crash, weight, now):
+        before = self.suspects.is_blocked(digest, now)
+        if not self.suspects.record_crash(digest, crash, weight, now):
             return
-        blocked = self.suspects.blocked(digest, now)
+        blocked = self.suspects.is_blocked(digest, now)
         metrics.CRASHING.labels('seen').inc()
         self._log.info('crash_under_request',
                        digest=digests.shown(digest),
@@ -183,7 +184,7 @@
                        total=self.suspects.weight(digest),
                        blocked=blocked)
         self._told.append((now, digest, crash))
-        if self.suspects.held(digest):
+        if self.suspects.must_serialize(digest):
             self._tell_all(digest)
         if blocked and not before:
             self._note_blamed(digest)
@@ -202,8 +203,8 @@
         if not self.suspects.weight(digest):
             return
         now = self._clock()
-        blamed = digest in self.suspects.blamed
-        if self.suspects.ran(digest, now):
+        blamed = digest in self.suspects.poison_requests
+        if self.suspects.record_completion(digest, now):
             metrics.CRASHING.labels('cleared').inc()
             self._log.info('request_cleared', digest=digests.shown(digest))
             self._told.append((now, digest, None))
@@ -213,7 +214,7 @@
     # -- what others see -------------------------------------------------------
 
     def recent_reports(self, now):
-        """Returns the ``membership.Sighting`` objects that a status tells."""
+        """Returns the ``membership.RunReport`` objects that a status tells."""
         while self._told and self._told[0][0] < now - REPORT_WINDOW_S:
             self._told.popleft()
         return tuple(
@@ -221,21 +222,23 @@
             if (found := self._sighting(digest, crash, now)) is not None)
 
     def _sighting(self, digest, crash, now):
-        suspect = self.suspects.known(digest)
+        suspect = self.suspects.find(digest)
         if suspect is None:
             return None
         if crash is None:
-            return membership.Sighting(digest, _age_ms(suspect.ran_at, now))
-        seen = suspect.sightings.get(crash)
+            return membership.RunReport(digest,
+                                        _age_ms(suspect.last_completed_at, now))
+        seen = suspect.crashes.get(crash)
         if seen is None:
             return None
-        return membership.Sighting(digest, _age_ms(seen.at, now), crash.replica,
-                                   crash.born, int(seen.weight))
+        return membership.RunReport(digest, _age_ms(seen.seen_at, now),
+                                    crash.replica, crash.started_at_ms,
+                                    int(seen.weight))
 
     def reports_of(self, digest):
-        """Returns the ``membership.Sighting`` objects of a suspect, a list."""
+        """Returns the ``membership.RunReport`` objects of a suspect, a list."""
         now = self._clock()
-        crashes = self.suspects.known(digest).sightings
+        crashes = self.suspects.find(digest).crashes
         return [self._sighting(digest, crash, now) for crash in crashes]
 
     def _tell_all(self, digest):
@@ -245,8 +248,8 @@
 
     def handle_status(self, status, host):
         """Takes in what the ``membership.Status`` of another entry tells."""
-        self.merge_reports(status.sightings)
-        if status.suspects != self.suspects.summary:
+        self.merge_reports(status.run_reports)
+        if status.suspects_summary != self.suspects.summary:
             self._ask(host)
 
     def _ask(self, host):
@@ -259,7 +262,7 @@
 
     def send_suspects(self, host):
         """Answers another entry that asks what is known."""
-        grave = sorted(self.suspects.grave(),
+        grave = sorted(self.suspects.reportable(),
                        key=self.suspects.weight,
                        reverse=True)
         found = []
@@ -269,19 +272,20 @@
                          host)
 
     def merge_reports(self, sightings):
-        """Takes in ``membership.Sighting`` objects of others."""
+        """Takes in ``membership.RunReport`` objects of others."""
         now = self._clock()
-        before = set(self.suspects.blamed)
+        before = set(self.suspects.poison_requests)
         for seen in sightings[:4 * MAX_REPORTS]:
             at = now - seen.age_ms / 1000
             if seen.replica:
-                self.suspects.crashed(seen.digest,
-                                      suspects.Crash(seen.replica, seen.born),
-                                      suspects.Weight(seen.weight), at)
+                self.suspects.record_crash(
+                    seen.digest, suspects.Crash(seen.replica,
+                                                seen.started_at_ms),
+                    suspects.CrashWeight(seen.weight), at)
             else:
-                self.suspects.ran(seen.digest, at)
+                self.suspects.record_completion(seen.digest, at)
         own = {digest for _, digest, crash in self._told if crash is not None}
-        for digest in set(self.suspects.blamed) - before:
+        for digest in set(self.suspects.poison_requests) - before:
             self._note_blamed(digest)
             if digest in own:
                 self.on_poison_request(digest)
--- a/gorsefall/relay/messages.py
+++ b/gorsefall/relay/messages.py
@@ -53,9 +53,9 @@
     """Tells of requests under which replicas crashed.
 
     Attributes:
-        sightings: The ``membership.Sighting`` objects.
+        run_reports: The ``membership.RunReport`` objects.
     """
-    sightings: tuple[membership.Sighting, ...] = ()
+    run_reports: tuple[membership.RunReport, ...] = ()
 
 
 class AskSuspects(msgspec.Struct,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -146,14 +146,14 @@
     """
     directory = _fleet(record('a', born=1000))
     before = directory.replicas['a']
-    before.view.failed(0.0)
-    before.view.sent(5000)
-    before.view.kept.used((prompts.Part('p', 900),))
+    before.view.record_failure(0.0)
+    before.view.record_sent(5000)
+    before.view.prompt_cache.record_use((prompts.Part('p', 900),))
     directory.put(record('a', born=2000))
     after = directory.replicas['a']
     assert after is not before
     assert after.view.outstanding == after.view.failures == 0
-    assert not after.view.kept.tokens((prompts.Part('p', 900),))
+    assert not after.view.prompt_cache.cached_tokens((prompts.Part('p', 900),))
 
 
 def test_a_record_of_an_earlier_start_is_passed_over():
@@ -222,7 +222,7 @@
 
 
 def _status(*ended):
-    return membership.Status('other', 1, 1, ended=ended)
+    return membership.Status('other', 1, 1, replica_exits=ended)
 
 
 def test_a_replica_that_another_entry_found_ended_gets_no_work():
@@ -232,12 +232,12 @@
     for name in 'ab':
         directory.put(record(name, born=5))
     now = time.monotonic()
-    directory.handle_status(_status(membership.Ended('a', 4, 0)), now)
+    directory.handle_status(_status(membership.ReplicaExit('a', 4, 0)), now)
     assert names(directory) == {'a', 'b'}
-    directory.handle_status(_status(membership.Ended('a', 5, 100)), now)
+    directory.handle_status(_status(membership.ReplicaExit('a', 5, 100)), now)
     assert names(directory) == {'b'}
     told, = directory.recent_exits(now)
-    assert (told.replica, told.born) == ('a', 5)
+    assert (told.replica, told.started_at_ms) == ('a', 5)
 
 
 def test_a_replica_that_goes_on_writing_has_not_ended():
@@ -247,7 +247,7 @@
     for name in 'ab':
         directory.put(record(name))
     now = time.monotonic()
-    directory.handle_status(_status(membership.Ended('a', 0, 0)), now)
+    directory.handle_status(_status(membership.ReplicaExit('a', 0, 0)), now)
     directory.put(record('a'))
     assert names(directory) == {'b'}
     directory.replicas['a'].exited_at = now - fleet.EXIT_RECORD_LAG_S - 1
@@ -260,6 +260,6 @@
     directory = fleet.Fleet(Loop())
     directory.set_services(SERVICES)
     directory.put(record('a'))
-    directory.handle_status(_status(membership.Ended('a', 0, 0)),
+    directory.handle_status(_status(membership.ReplicaExit('a', 0, 0)),
                             time.monotonic())
     assert names(directory) == {'a'}
