--- a/gorsefall/emulator/crashing.py
+++ b/gorsefall/emulator/crashing.py
@@ -203,7 +203,7 @@
     def _add(self):
         name = f'r{next(self._starts)}'
         record = types.SimpleNamespace(id=name,
-                                       born=0,
+                                       started_at_ms=0,
                                        status=model.ReplicaStatus.READY)
         self.replicas[name] = Replica(record)
 
--- a/gorsefall/relay/ending.py
+++ b/gorsefall/relay/accesslog.py
@@ -7,7 +7,7 @@
 from gorsefall.relay import outcomes
 
 
-def note(exchange, grant, outcome, exc, *, pause_s, last_event):
+def record(exchange, grant, outcome, exc, *, pause_s, last_event):
     """Counts and logs the end of an exchange.
 
     Args:
@@ -43,19 +43,19 @@
                       late=late.value if late else None,
                       last_event=last_event,
                       version=node.table.version if node.table else None,
-                      proof_age_s=node.proof.logged_age_s())
+                      proof_age_s=node.confirmation.logged_age_s())
 
 
 def _late(exchange, grant, pause_s, now):
-    """Returns the ``outcomes.Late`` that kept it from full worth, or None."""
+    """Returns why it missed full worth: ``outcomes.LateReason``, or None."""
     route = grant.route
     if route is None or exchange.first_at is None:
         return None
     came = exchange.first_at if grant.streams else now
     if route.target_s and came - exchange.arrived > route.target_s:
-        return outcomes.Late.START
-    if route.gap_s and pause_s > route.gap_s:
-        return outcomes.Late.PAUSE
+        return outcomes.LateReason.START
+    if route.gap_target_s and pause_s > route.gap_target_s:
+        return outcomes.LateReason.PAUSE
     return None
 
 
--- a/gorsefall/relay/announcing.py
+++ b/gorsefall/relay/announcing.py
@@ -83,7 +83,7 @@
     def told(self, now):
         """Returns the ``membership.Limit`` objects that a status tells."""
         return tuple(
-            membership.Limit(name, replica.record.born,
+            membership.Limit(name, replica.record.started_at_ms,
                              int((now - replica.limit.heard_at) *
                                  1000), replica.limit.per_s)
             for name, replica in self._announced.items()
@@ -93,6 +93,7 @@
         """Takes in what the ``membership.Status`` of another entry tells."""
         for limit in status.limits:
             replica = self._fleet.replicas.get(limit.replica)
-            if replica is not None and replica.record.born == limit.born:
+            if (replica is not None and
+                    replica.record.started_at_ms == limit.born):
                 self._heard(replica, limit.per_s,
                             self._loop.now - limit.age_ms / 1000)
--- a/gorsefall/relay/copies.py
+++ b/gorsefall/relay/backups.py
@@ -6,7 +6,7 @@
 from gorsefall.relay import ends
 
 
-class Copy:
+class KvBackup:
     """The copy of one run; at most one is ordered and used."""
 
     def __init__(self, replica_ends, replicas):
@@ -22,11 +22,11 @@
         self._looking = None
 
     @property
-    def held(self):
+    def available(self):
         """Whether a replica was told to keep a copy that was not used yet."""
         return self._holder is not None
 
-    def order(self, candidates, request):
+    def choose_holder(self, candidates, request):
         """Chooses the replica that keeps the copy.
 
         Args:
@@ -44,7 +44,7 @@
         self._holder = self._fleet.replicas[target.name]
         return self._holder.record.addr
 
-    def look(self, replica, done):
+    def probe(self, replica, done):
         """Calls ``done(alive)`` with whether ``replica`` is there."""
         if self._looking is not None:
             return
@@ -56,7 +56,7 @@
         if done is not None:
             done(verdict is ends.Verdict.ALIVE)
 
-    def take(self):
+    def claim(self):
         """Returns the ``fleet.Replica`` with the copy, or None.
 
         One that left has none, nor has one that started again since: then it
@@ -66,6 +66,6 @@
         known = self._fleet.replicas.get(holder.record.id)
         return holder if known is holder else None
 
-    def cancel(self):
+    def cancel_probe(self):
         """Gives up a look that is under way."""
         self._looking = None
--- a/gorsefall/relay/beliefs.py
+++ b/gorsefall/relay/beliefs.py
@@ -35,7 +35,7 @@
 
     def on_confirmed(self, sent_at):
         """See ``topic.Listener``."""
-        self._node.confirmed(sent_at)
+        self._node.record_confirmation(sent_at)
 
 
 class _Spoilt(typing.NamedTuple):
--- a/gorsefall/relay/dialect.py
+++ b/gorsefall/relay/codec.py
@@ -1,7 +1,7 @@
 """The seam between the relay and a wire: how messages are spelled."""
 
 
-class Dialect:
+class Codec:
     """Decodes what callers and replicas send, encodes what they get."""
 
     def decode_request(self, method, target, fields):
@@ -22,14 +22,14 @@
 
         Args:
             req: The ``model.CallerRequest``.
-            order: The ``model.Order``.
+            order: The ``model.AttemptOptions``.
         """
         raise NotImplementedError
 
-    def decode_answer(self, status, fields):
-        """Returns the ``model.Answer`` of a replica's answer head."""
+    def decode_response(self, status, fields):
+        """Returns the ``model.Response`` of a replica's answer head."""
         raise NotImplementedError
 
-    def encode_answer(self, answer):
+    def encode_response(self, answer):
         """Returns the header fields for the caller, a list of byte pairs."""
         raise NotImplementedError
--- a/gorsefall/relay/crashes.py
+++ b/gorsefall/relay/crashes.py
@@ -169,7 +169,7 @@
 
     def _crashed(self, record, run, now):
         digest, weight = run.digest, run.weight(now)
-        crash = suspects.Crash(record.id, record.born)
+        crash = suspects.Crash(record.id, record.started_at_ms)
         before = self.suspects.blocked(digest, now)
         if not self.suspects.crashed(digest, crash, weight, now):
             return
--- a/gorsefall/relay/delivery.py
+++ b/gorsefall/relay/delivery.py
@@ -2,7 +2,7 @@
 
 from gorsefall.relay import events
 
-MAX_HELD = 4 << 20
+MAX_BUFFERED_BYTES = 4 << 20
 """Longest answer that is no stream, bytes: it is held back until it is whole,
 so that another replica can still be asked. As much as callers may send."""
 
@@ -14,14 +14,14 @@
         streaming: Whether the answer that came last is passed on as it comes.
     """
 
-    def __init__(self, dialect, reply):
+    def __init__(self, codec, reply):
         """Creates a delivery of which nothing is on its way.
 
         Args:
-            dialect: The ``dialect.Dialect`` of the wire.
-            reply: The ``inbound.Reply`` to the caller.
+            codec: The ``codec.Codec`` of the wire.
+            reply: The ``inbound.ResponseWriter`` to the caller.
         """
-        self._dialect = dialect
+        self._codec = codec
         self._reply = reply
         self._answer = None
         self._held = []
@@ -40,7 +40,7 @@
         return self._splitter is not None
 
     @property
-    def last_id(self):
+    def last_event_id(self):
         """Id of the last event passed on, bytes; None before any."""
         return self._splitter.last_id if self._splitter else None
 
@@ -48,7 +48,7 @@
         """Notes the head of an answer.
 
         Args:
-            answer: The ``model.Answer``.
+            answer: The ``model.Response``.
             streams: Whether a success comes as a stream of events.
         """
         self._answer = answer
@@ -56,44 +56,44 @@
         if self.streaming:
             # The rest of a stream that has begun can only be more events.
             self._splitter = self._splitter or events.Splitter()
-            self._splitter.rest = b''
+            self._splitter.partial = b''
 
     @property
-    def whole_events(self):
+    def event_count(self):
         """How many events became whole with the last piece of a stream."""
-        return self._splitter.whole
+        return self._splitter.completed
 
-    def hold(self, data):
+    def buffer(self, data):
         """Keeps part of an answer; returns whether it is not too long."""
         self._held.append(data)
         self._size += len(data)
-        return self._size <= MAX_HELD
+        return self._size <= MAX_BUFFERED_BYTES
 
-    def split(self, data):
+    def split_events(self, data):
         """Returns what of a stream is whole events by now."""
         return self._splitter.feed(data)
 
-    def pass_on(self, data):
+    def forward(self, data):
         """Sends part of a stream; returns whether the caller keeps up."""
         self._begin()
-        return self._reply.data(data)
+        return self._reply.write(data)
 
     def _begin(self):
         if not self._reply.started:
-            self._reply.head(self._answer.status,
-                             self._dialect.encode_answer(self._answer))
+            self._reply.start(self._answer.status,
+                              self._codec.encode_response(self._answer))
 
     def end(self):
         """Ends a stream that is whole."""
         self._begin()
-        if self._splitter.rest:
-            self._reply.data(self._splitter.rest)
+        if self._splitter.partial:
+            self._reply.write(self._splitter.partial)
         self._reply.end()
 
-    def whole(self, answer):
+    def send_buffered(self, answer):
         """Sends an answer that was held back."""
-        self._reply.whole(answer.status, self._dialect.encode_answer(answer),
-                          b''.join(self._held))
+        self._reply.send(answer.status, self._codec.encode_response(answer),
+                         b''.join(self._held))
 
     def discard(self):
         """Forgets what is held of an answer that failed."""
@@ -102,10 +102,10 @@
         self._held.clear()
         self._size = 0
 
-    def refuse(self, status, fields, body):
+    def send_error(self, status, fields, body):
         """Sends an answer of our own."""
-        self._reply.whole(status, fields, body)
+        self._reply.send(status, fields, body)
 
-    def break_off(self):
+    def abort(self):
         """Ends what was begun so that nobody takes it for whole."""
-        self._reply.break_off()
+        self._reply.abort()
--- a/gorsefall/relay/events.py
+++ b/gorsefall/relay/events.py
@@ -21,17 +21,17 @@
 
     def __init__(self):
         self.last_id = None
-        self.rest = b''
-        self.whole = 0
+        self.partial = b''
+        self.completed = 0
 
     def feed(self, data):
         """Returns the bytes that are whole events by now."""
-        buf = self.rest + data
-        end = self.whole = 0
+        buf = self.partial + data
+        end = self.completed = 0
         for match in _END.finditer(buf):
             end = match.end()
-            self.whole += 1
-        whole, self.rest = buf[:end], buf[end:]
+            self.completed += 1
+        whole, self.partial = buf[:end], buf[end:]
         ids = _ID.findall(whole)
         if ids:
             self.last_id = ids[-1]
--- a/gorsefall/relay/exchange.py
+++ b/gorsefall/relay/exchange.py
@@ -11,16 +11,16 @@
 from gorsefall.policy import comeback
 from gorsefall.policy import patience
 from gorsefall.policy import placement
-from gorsefall.relay import copies
+from gorsefall.relay import backups
 from gorsefall.relay import crashes
 from gorsefall.relay import delivery
-from gorsefall.relay import ending
+from gorsefall.relay import accesslog
 from gorsefall.relay import grant
 from gorsefall.relay import outcomes
 from gorsefall.relay import sending
 
-INTERNAL = 500
-TIME_UP = 504
+INTERNAL_ERROR_STATUS = 500
+TIMEOUT_STATUS = 504
 """Statuses of a replica that failed, and of one whose time was up."""
 
 
@@ -38,7 +38,7 @@
         super().__init__(logs.get('exchange').bind(rid=req.id))
         self.node = node
         self.req = req
-        self._delivery = delivery.Delivery(node.dialect, reply)
+        self._delivery = delivery.Delivery(node.codec, reply)
         self._attempt = None
         self.digest = None
         self._grant = grant.Grant(node, req)
@@ -46,7 +46,7 @@
         self._deadline_timer = None
         self._attempt_timer = None
         self._longest_pause_s = 0.0
-        self._copy = copies.Copy(node.ends, node.fleet)
+        self._copy = backups.KvBackup(node.prober, node.fleet)
 
     # -- what may be done ------------------------------------------------------
 
@@ -66,22 +66,23 @@
             left = min(left, self.req.time_left_s)
         self._deadline = self.arrived + left
         self._deadline_timer = self.node.loop.later(left, self._time_up)
-        self._grant.asked()
+        self._grant.record_arrival()
         self.go_on()
 
     @property
     def terms(self):
         """See ``serving.Serving``."""
-        return attempts.Terms(repeatable=not self._grant.once,
+        return attempts.Terms(repeatable=not self._grant.non_repeatable,
                               most=self._grant.route.max_attempts)
 
     def _budget(self):
         """Returns the ``budget.Budget`` that its retries are taken from."""
-        return self.node.budget(self._grant.service)
+        return self.node.retry_budget(self._grant.service)
 
     def _patience(self):
         """Returns the ``patience.Patience`` with its service's answers."""
-        return self.node.patience(self._grant.service, self._grant.route.kind)
+        return self.node.attempt_timeout(self._grant.service,
+                                         self._grant.route.kind)
 
     def _speed(self):
         """Returns the ``pace.Pace`` of its service's replicas."""
@@ -107,10 +108,10 @@
             self._grant.renew()
         if not self.node.crashes.begin(self.digest, self):
             return
-        choice = self._grant.place(self.attempts.tried,
-                                   refuse=not self.attempts.names,
-                                   emptiest=self.node.crashes.suspects.held(
-                                       self.digest))
+        choice = self._grant.choose_replica(
+            self.attempts.tried,
+            refuse=not self.attempts.names,
+            emptiest=self.node.crashes.suspects.held(self.digest))
         if choice is None:
             raise errors.NoReplicaError(
                 f'no replica of {self._grant.service} is left',
@@ -123,12 +124,12 @@
             self._budget().first(now)
         self.attempts.sent(replica.record.id)
         replica.limit.sent(now)
-        order = self._grant.order(
+        order = self._grant.attempt_options(
             replica.record,
             time_left_s=self._time_left(),
             backup=None if from_copy else self._order_copy(replica),
             from_copy=from_copy,
-            resume_after=self._delivery.last_id,
+            resume_after=self._delivery.last_event_id,
             source=choice.source)
         if self.req.prompt is not None:
             self.node.work.prompt_sent(replica, self.req.prompt.shared)
@@ -136,18 +137,18 @@
                                         replica,
                                         order,
                                         choice,
-                                        writes=self._grant.want.writes)
-        self._attempt.channel = replica.pool.send(self._attempt)
+                                        writes=self._grant.profile.writes)
+        self._attempt.conn = replica.pool.send(self._attempt)
         self._attempt.log_sent(self._grant.service, len(self.attempts.names))
         self._watch_attempt()
 
     def _order_copy(self, replica):
         """Returns the address of the replica that copies the run, or None."""
-        if not self._grant.copied:
+        if not self._grant.needs_backup:
             return None
         others = self.node.fleet.candidates(self._grant.service,
                                             {replica.record.id})
-        return self._copy.order(others, self.req.id)
+        return self._copy.choose_holder(others, self.req.id)
 
     def _watch_attempt(self):
         if self.attempts.may_repeat(self.terms):
@@ -177,10 +178,10 @@
             # later; given up here, its answer would be lost.
             self._watch_attempt()
             return
-        attempt.channel.cancel()
-        if not attempt.begun:
+        attempt.conn.cancel()
+        if not attempt.response_started:
             self._note_wait(attempt)
-        self.attempt_failed(attempt, outbound.Failure(True, 'silent'))
+        self.on_attempt_failed(attempt, outbound.Failure(True, 'silent'))
 
     def _repeatable_elsewhere(self):
         """Whether another replica may be asked, and there is one."""
@@ -190,51 +191,51 @@
                                            self.attempts.tried)))
 
     def _note_wait(self, attempt):
-        self._patience().began(time.monotonic() - attempt.began)
+        self._patience().began(time.monotonic() - attempt.sent_at)
 
     # -- what a replica answers ------------------------------------------------
 
-    def answer_began(self, answer):
+    def on_response_head(self, answer):
         """Called with the head of an answer."""
         self._delivery.begin(answer, streams=self._grant.streams)
 
-    def answer_data(self, attempt, data):
+    def on_response_data(self, attempt, data):
         """Called with a piece of an answer's body."""
         if self.first_at is None:
             self.first_at = time.monotonic()
-        if not attempt.begun:
+        if not attempt.response_started:
             attempt.first_at = time.monotonic()
             self._note_wait(attempt)
-            attempt.note_start(self._speed())
-        attempt.prompt_read()
+            attempt.record_response_start(self._speed())
+        attempt.prefill_done()
         if self._delivery.streaming:
-            self._pass_on(attempt, self._delivery.split(data))
-        elif self._delivery.hold(data):
+            self._pass_on(attempt, self._delivery.split_events(data))
+        elif self._delivery.buffer(data):
             # Bounded in all, a long answer would be cut off and run anew.
             self._watch_attempt()
         else:
-            attempt.channel.cancel()
+            attempt.conn.cancel()
             failure = outbound.Failure(
-                True, f'answer over {delivery.MAX_HELD} bytes')
-            self.attempt_failed(attempt, failure)
+                True, f'answer over {delivery.MAX_BUFFERED_BYTES} bytes')
+            self.on_attempt_failed(attempt, failure)
 
     def _pass_on(self, attempt, data):
         if not data:
             return
-        attempt.events_came(self._delivery.whole_events)
+        attempt.record_events(self._delivery.event_count)
         if self._restorable():
             self._set_attempt_timer(patience.COPY_GAP_S)
         elif self.attempts.may_repeat(self.terms):
             self._set_attempt_timer(patience.STREAM_GAP_S)
-        if not self._delivery.pass_on(data):
+        if not self._delivery.forward(data):
             attempt.pause()
 
-    def caller_drained(self):
+    def on_caller_drained(self):
         """Called when the caller has taken all that was sent to it."""
         if self._attempt is not None:
-            self._attempt.channel.resume()
+            self._attempt.conn.resume()
 
-    def answer_ended(self, attempt, answer):
+    def on_response_end(self, attempt, answer):
         """Called when an answer is whole."""
         self._close_attempt(attempt)
         if answer.not_run:
@@ -244,10 +245,10 @@
         health.succeeded()
         attempt.replica.ended_at = None
         self.node.crashes.ran(self.digest)
-        attempt.note_end(self._speed())
+        attempt.record_duration(self._speed())
         self.node.work.answered(
-            attempt.replica, answer.status < INTERNAL or
-            answer.status == TIME_UP)
+            attempt.replica, answer.status < INTERNAL_ERROR_STATUS or
+            answer.status == TIMEOUT_STATUS)
         if answer.success and not answer.genuine:
             health.failed(time.monotonic())
             self._again_or_unknown('its answer is not its own')
@@ -256,10 +257,11 @@
             self.close(outcomes.Outcome.SERVED)
         elif self._delivery.resuming:
             self._again_or_unknown(f'resuming gave {answer.status}')
-        elif answer.status != INTERNAL or not self.again(f'status {INTERNAL}'):
+        elif answer.status != INTERNAL_ERROR_STATUS or not self.again(
+                f'status {INTERNAL_ERROR_STATUS}'):
             # Without another replica to ask, a failure's own answer is the
             # best that the caller can get, so it is passed on too.
-            self._delivery.whole(answer)
+            self._delivery.send_buffered(answer)
             self.close(outcomes.Outcome.SERVED if answer.success else outcomes.
                        Outcome.REPLICA_FAILED)
 
@@ -276,7 +278,7 @@
                 f'the replica refused it ({answer.status})',
                 retry_after=comeback.soon_s()), 'not run')
 
-    def attempt_failed(self, attempt, failure):
+    def on_attempt_failed(self, attempt, failure):
         """Called when an attempt ended without a whole answer."""
         self._close_attempt(attempt)
         now = time.monotonic()
@@ -285,13 +287,13 @@
                       replica=attempt.replica.record.id,
                       reason=failure.reason,
                       sent=failure.sent,
-                      after_ms=round((now - attempt.began) * 1000, 1))
+                      after_ms=round((now - attempt.sent_at) * 1000, 1))
         if not failure.sent:
             self.attempts.not_reached()
             self.restart()
         elif failure.broke:
             run = crashes.Run(self.digest,
-                              attempt.began,
+                              attempt.sent_at,
                               attempt.first_at,
                               again=len(self.attempts.names) > 1)
             self.node.crashes.broke(
@@ -321,7 +323,7 @@
 
     def _restorable(self):
         """Whether the run has a copy and the caller part of its answer."""
-        return self._copy.held and self._delivery.last_id is not None
+        return self._copy.available and self._delivery.last_event_id is not None
 
     def _look_after(self, attempt, broken=None):
         """Looks whether the replica of a broken or silent stream is there."""
@@ -334,15 +336,15 @@
             else:
                 self._set_attempt_timer(patience.COPY_GAP_S)
 
-        self._copy.look(attempt.replica, looked)
+        self._copy.probe(attempt.replica, looked)
 
     def _restore(self, attempt):
         """Goes on at the replica that has the copy of the run's memory."""
         if self._attempt is not None:
-            attempt.channel.cancel()
+            attempt.conn.cancel()
             self._close_attempt(attempt)
             attempt.replica.target.failed(time.monotonic())
-        replica = self._copy.take()
+        replica = self._copy.claim()
         if (replica is None or not self._budget().take(time.monotonic())):
             self.fail(
                 self.attempts.unknown(
@@ -364,7 +366,7 @@
 
     # -- endings ---------------------------------------------------------------
 
-    def caller_left(self):
+    def on_caller_disconnected(self):
         """The caller's channel ended: stops the replica's work."""
         self._drop_attempt()
         self.close(outcomes.Outcome.CALLER_LEFT)
@@ -378,7 +380,7 @@
                 errors.DeadlineError('could not be sent in time',
                                      retry_after=comeback.soon_s()))
 
-    def cut(self):
+    def abort(self):
         """Ends the exchange because the process ends."""
         self._drop_attempt()
         why = 'the entry is shutting down'
@@ -388,12 +390,12 @@
     def _drop_attempt(self):
         attempt = self._attempt
         if attempt is not None:
-            if not attempt.channel.cancel():
+            if not attempt.conn.cancel():
                 self.attempts.withdrawn()
             self._close_attempt(attempt)
 
     def _close_attempt(self, attempt):
-        attempt.place.close()
+        attempt.occupancy.close()
         self._longest_pause_s = max(self._longest_pause_s,
                                     attempt.longest_pause_s)
         self._attempt = None
@@ -403,26 +405,26 @@
     def tell(self, exc):
         """See ``serving.Serving``."""
         if self._delivery.started:
-            self._delivery.break_off()
+            self._delivery.abort()
             return outcomes.Outcome.BROKEN
-        self._delivery.refuse(*outcomes.error_answer(exc))
+        self._delivery.send_error(*outcomes.error_response(exc))
         return outcomes.outcome_of(exc)
 
     def note_end(self, outcome, exc):
         """See ``serving.Serving``."""
         if self._deadline_timer is not None:
             self._deadline_timer.cancel()
-        self._copy.cancel()
+        self._copy.cancel_probe()
         self.node.crashes.ended(self.digest, self)
-        ending.note(self,
-                    self._grant,
-                    outcome,
-                    exc,
-                    pause_s=self._longest_pause_s,
-                    last_event=self._last_event())
-        self.node.exchange_done(self)
+        accesslog.record(self,
+                         self._grant,
+                         outcome,
+                         exc,
+                         pause_s=self._longest_pause_s,
+                         last_event=self._last_event())
+        self.node.remove_exchange(self)
 
     def _last_event(self):
         """Returns the id of the last event passed on, or None."""
-        last_id = self._delivery.last_id
+        last_id = self._delivery.last_event_id
         return None if last_id is None else last_id.decode('latin-1')
--- a/gorsefall/relay/fleet.py
+++ b/gorsefall/relay/fleet.py
@@ -62,7 +62,7 @@
                                        zone=record.zone,
                                        slots=record.slots,
                                        engine=service.engine,
-                                       kept=prompts.Kept(service.memory))
+                                       kept=prompts.Kept(service.kv_tokens))
         cap = max(2, int(service.max_connections * CONNECTION_SHARE))
         self.pool = outbound.Pool(loop,
                                   record.addr,
@@ -132,12 +132,12 @@
     def put(self, record):
         """Adopts a replica's record."""
         old = self._records.get(record.id)
-        if old is not None and not old.same_start(record):
-            if record.born < old.born:
+        if old is not None and not old.same_incarnation(record):
+            if record.started_at_ms < old.started_at_ms:
                 self._log.warning('record_of_an_earlier_start',
                                   replica=record.id,
-                                  born=record.born,
-                                  known=old.born)
+                                  born=record.started_at_ms,
+                                  known=old.started_at_ms)
                 return
             self._started_again(record.id)
         self._records[record.id] = record
@@ -213,7 +213,7 @@
             if rep.ended_at is not None and now - rep.ended_at < TOLD_S
         }
         return tuple(
-            membership.Ended(name, rep.record.born,
+            membership.Ended(name, rep.record.started_at_ms,
                              max(0, int((now - rep.ended_at) * 1000)))
             for name, rep in list(self._ended.items())[:MAX_TOLD])
 
@@ -221,7 +221,7 @@
         """Takes in what the ``membership.Status`` of another entry tells."""
         for end in status.ended:
             rep = self.replicas.get(end.replica)
-            if rep is not None and rep.record.born == end.born:
+            if rep is not None and rep.record.started_at_ms == end.born:
                 self.ended(rep, now - end.age_ms / 1000)
 
     def replaced(self, replica_id):
--- a/gorsefall/relay/grant.py
+++ b/gorsefall/relay/grant.py
@@ -30,8 +30,8 @@
         self.route = None
         self.account = None
         self.service = None
-        self.once = False
-        self.want = knowledge.Want(zone=node.cfg.zone)
+        self.non_repeatable = False
+        self.profile = knowledge.Want(zone=node.cfg.zone)
 
     def renew(self):
         """Finds route and account in the configuration in force now.
@@ -46,9 +46,9 @@
         if self.route != route:
             self.route = route
             self.service = routes.pick_service(route)
-            self.once = self.once or not route.repeatable
+            self.non_repeatable = self.non_repeatable or not route.repeatable
         account = table.account(self._req, route)
-        if account is not None and not self._node.proof.valid():
+        if account is not None and not self._node.confirmation.valid():
             self._unproven(table)
         self.account = account
 
@@ -61,14 +61,14 @@
         if self._node.cfg.strict_revocation:
             raise errors.UnprovenError(
                 f'configuration {table.version} was last confirmed '
-                f'{self._node.proof.age_s():.2f} s ago',
+                f'{self._node.confirmation.age_s():.2f} s ago',
                 retry_after=comeback.soon_s())
         metrics.UNPROVEN.inc()
 
     @property
     def streams(self):
         """Whether its answer is a stream of events."""
-        return self.route.kind is model.Kind.STREAM
+        return self.route.kind is model.RouteKind.STREAM
 
     @property
     def rank(self):
@@ -93,26 +93,26 @@
                               tokens_out=prompt.tokens_out,
                               limit_ms=ranks.limit_ms(self.rank,
                                                       self._target_ms),
-                              gap_ms=self.route.gap_s * 1000)
+                              gap_ms=self.route.gap_target_s * 1000)
 
     @property
-    def copied(self):
+    def needs_backup(self):
         """Whether another replica had better copy its run as it grows."""
         service = self._node.table.services.get(self.service)
-        return (service is not None and service.backups and self.streams and
-                self.want.writes)
+        return (service is not None and service.kv_backups and self.streams and
+                self.profile.writes)
 
     @property
     def _target_ms(self):
         return self.route.target_s * 1000
 
-    def asked(self):
+    def record_arrival(self):
         """Notes the request among those for its service."""
         self._node.work.ranks(self.service).asked(self.rank, self._target_ms)
 
-    def order(self, record, *, time_left_s, backup, from_copy, resume_after,
-              source):
-        """Returns the ``model.Order`` for a send.
+    def attempt_options(self, record, *, time_left_s, backup, from_copy,
+                        resume_after, source):
+        """Returns the ``model.AttemptOptions`` for a send.
 
         Args:
             record: The ``model.ReplicaRecord`` of the replica.
@@ -123,16 +123,17 @@
             source: The ``knowledge.Target`` to fetch cached parts from, or
                 None.
         """
-        return model.Order(replica=record.id,
-                           time_left_s=time_left_s,
-                           account=self.account.name if self.account else None,
-                           priority=self.urgency,
-                           backup=backup,
-                           copy_at=record.addr if from_copy else None,
-                           resume_after=resume_after,
-                           fetch_from=self._node.work.addr_of(source))
-
-    def place(self, tried, *, refuse, emptiest=False):
+        return model.AttemptOptions(
+            replica=record.id,
+            time_left_s=time_left_s,
+            account=self.account.name if self.account else None,
+            priority=self.urgency,
+            backup_to=backup,
+            restore_from=record.addr if from_copy else None,
+            resume_after=resume_after,
+            fetch_from=self._node.work.addr_of(source))
+
+    def choose_replica(self, tried, *, refuse, emptiest=False):
         """Chooses where it goes.
 
         Args:
@@ -148,13 +149,13 @@
             errors.ShedError: It would only come late.
         """
         work = self._node.work
-        self.want = self._see()
+        self.profile = self._see()
         urgent = work.ranks(self.service).leads(self.rank)
         targets = work.targets(self.service, tried, urgent=urgent)
         if emptiest:
             targets = placement.emptiest(targets)
         choice = placement.choose(targets,
-                                  self.want,
+                                  self.profile,
                                   work.service(self.service),
                                   time.monotonic(),
                                   sources=work.sources(self.service))
@@ -166,7 +167,7 @@
         return choice
 
     def _refuse_late(self, choice):
-        limit_ms = self.want.limit_ms
+        limit_ms = self.profile.limit_ms
         wait_s = overload.refuse_for_s(choice, limit_ms)
         if wait_s is not None:
             raise errors.ShedError(
--- a/gorsefall/relay/inbound.py
+++ b/gorsefall/relay/inbound.py
@@ -18,7 +18,7 @@
                          b'te', b'trailer', b'transfer-encoding', b'upgrade'))
 
 
-def end_to_end(fields):
+def end_to_end_fields(fields):
     """Returns the ``(name, value)`` fields that concern more than one hop.
 
     Args:
@@ -31,7 +31,7 @@
     return [(n, v) for n, v in fields.items if n.lower() not in drop]
 
 
-class Reply:
+class ResponseWriter:
     """What an exchange uses to answer its caller; at most one answer.
 
     Attributes:
@@ -44,7 +44,7 @@
         self.started = False
         self.done = False
 
-    def whole(self, status, fields, body):
+    def send(self, status, fields, body):
         """Sends a whole answer; ``fields`` are byte pairs."""
         if not self.done:
             self.started = self.done = True
@@ -52,15 +52,15 @@
             self._conn.send_body(body)
             self._conn.end()
 
-    def head(self, status, fields):
+    def start(self, status, fields):
         """Starts an answer whose length is not known."""
         self.started = True
         self._conn.send_head(status, fields, None)
 
-    def data(self, data):
+    def write(self, data):
         """Sends a piece; returns whether the caller keeps up."""
         self._conn.send_body(data)
-        return self._conn.keeps_up()
+        return self._conn.can_write()
 
     def end(self):
         """Ends an answer that was started with ``head``."""
@@ -68,20 +68,22 @@
             self.done = True
             self._conn.end()
 
-    def break_off(self):
+    def abort(self):
         """Ends the channel so that the answer cannot look complete."""
         if not self.done:
             self.done = True
-            self._conn.break_off()
+            self._conn.abort()
 
 
-class Channel:
+class CallerConnection:
     """One caller's channel.
 
-    The server object it belongs to gives ``limits``, ``draining`` and
-    ``begin(method, target, fields, body, reply)``, which gets a
-    ``digests.Body`` and returns an exchange with ``caller_left()`` and
-    ``caller_drained()``, or None when it has answered.
+    The server object it belongs to provides ``limits``, ``draining``,
+    ``on_conn_closed(conn)``, ``error_response(exc)`` and
+    ``handle_request(method, target, fields, body, reply)``. The last one gets
+    a ``digests.Body`` and returns an exchange with
+    ``on_caller_disconnected()`` and ``on_caller_drained()``, or None when it
+    has already responded.
     """
 
     def __init__(self, loop, server, sock):
@@ -106,7 +108,7 @@
                 not self._h11.trailing_data[0])
 
     @property
-    def sending(self):
+    def has_unsent(self):
         """Whether answer bytes wait for the caller to take them."""
         return bool(self._conn.unsent)
 
@@ -138,7 +140,7 @@
         if self._closing and not self._answering:
             self.close()
         elif self._exchange is not None:
-            self._exchange.caller_drained()
+            self._exchange.on_caller_drained()
 
     # -- reading ---------------------------------------------------------------
 
@@ -194,8 +196,8 @@
         self._answering = True
         self._cancel_timer()
         fields = headers.read(head.headers.raw_items())
-        exchange = self._server.begin(head.method, head.target, fields, body,
-                                      Reply(self))
+        exchange = self._server.handle_request(head.method, head.target, fields,
+                                               body, ResponseWriter(self))
         if self._answering:
             self._exchange = exchange
 
@@ -213,7 +215,7 @@
         """Answers a request that was not read whole, and closes."""
         self._answering = self._closing = True
         self._head = None
-        Reply(self).whole(*self._server.error_answer(exc))
+        ResponseWriter(self).send(*self._server.error_response(exc))
 
     # -- writing ---------------------------------------------------------------
 
@@ -233,7 +235,7 @@
         """Sends a piece of the answer's body."""
         self._conn.write(self._h11.send(h11.Data(data=data)))
 
-    def keeps_up(self):
+    def can_write(self):
         """Returns whether the caller reads as fast as it is sent to."""
         return self._conn.unsent < MAX_PENDING_BYTES
 
@@ -267,7 +269,7 @@
         except h11.RemoteProtocolError as exc:
             self._reject(exc)
 
-    def break_off(self):
+    def abort(self):
         """Resets the channel in the middle of an answer."""
         self._answering = False
         self._exchange = None
@@ -287,11 +289,11 @@
         self._conn.close()
         self._left()
         if exchange is not None:
-            exchange.caller_left()
+            exchange.on_caller_disconnected()
 
     def _left(self):
         self._cancel_timer()
-        self._server.channel_closed(self)
+        self._server.on_conn_closed(self)
 
     def _expect(self, timeout_s):
         self._cancel_timer()
--- a/gorsefall/relay/model.py
+++ b/gorsefall/relay/model.py
@@ -9,7 +9,7 @@
 from gorsefall.policy import prompts
 
 
-class Kind(enum.Enum):
+class RouteKind(enum.Enum):
     """What may be repeated on a route."""
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non_idempotent'
@@ -33,8 +33,8 @@
         kind: What may be repeated.
         timeout_s: Longest time a caller is kept waiting, s.
         target_s: Time to the answer, or its first event, for full worth, s.
-        gap_s: Longest pause between events of a stream for full worth, s;
-            0 for none.
+        gap_target_s: Longest pause between events of a stream for full worth,
+            s; 0 for no target.
         priority: Rank, 0 is the most urgent.
         services: ``(service, weight)`` pairs the route's requests go to.
         max_attempts: Replicas one request may be sent to.
@@ -45,7 +45,7 @@
     name: str
     host: str
     prefix: str
-    kind: Kind
+    kind: RouteKind
     timeout_s: float
     target_s: float
     priority: int
@@ -54,12 +54,12 @@
     public: bool = False
     resumable: bool = False
     model: bool = False
-    gap_s: float = 0.0
+    gap_target_s: float = 0.0
 
     @property
     def repeatable(self):
         """Whether a request may run a second time from its start."""
-        return self.kind is Kind.IDEMPOTENT or self.resumable
+        return self.kind is RouteKind.IDEMPOTENT or self.resumable
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -70,8 +70,8 @@
         name: Service name.
         max_connections: Connections one replica accepts from all entries.
         engine: Whether its replicas are model engines.
-        backups: Whether a replica can copy a run's memory to another one.
-        memory: Tokens that an engine has memory for; 0 if not told.
+        kv_backups: Whether a replica can copy a run's memory to another one.
+        kv_tokens: Tokens that an engine has memory for; 0 if not told.
         fetch_ms: Time in which an engine fetches a cached prompt token from
             another, ms; 0 where it cannot.
         event_tokens: Tokens that an event of a stream holds.
@@ -79,8 +79,8 @@
     name: ids.ServiceName
     max_connections: int
     engine: bool = False
-    backups: bool = False
-    memory: int = 0
+    kv_backups: bool = False
+    kv_tokens: int = 0
     fetch_ms: float = 0.0
     event_tokens: int = 1
 
@@ -124,8 +124,9 @@
         zone: Availability zone.
         slots: Requests it runs at once.
         status: A ``ReplicaStatus``.
-        born: When this start of the replica began, ms since 1970 by its own
-            clock; 0 where it is not told. Tells starts apart.
+        started_at_ms: When this incarnation of the replica started, ms since
+            1970 by its own clock; 0 where it does not report it. Tells
+            incarnations apart.
     """
     id: ids.ReplicaName
     service: ids.ServiceName
@@ -133,11 +134,12 @@
     zone: ids.ZoneName
     slots: int
     status: ReplicaStatus
-    born: int = 0
+    started_at_ms: int = 0
 
-    def same_start(self, other):
+    def same_incarnation(self, other):
         """Whether ``other`` is a record of the same start of the replica."""
-        return self.born == other.born and self.addr == other.addr
+        return (self.started_at_ms == other.started_at_ms and
+                self.addr == other.addr)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -209,7 +211,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Answer:
+class Response:
     """The head of a replica's answer, decoded.
 
     Attributes:
@@ -240,7 +242,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Order:
+class AttemptOptions:
     """What a replica is told beside the caller's own request.
 
     Attributes:
@@ -248,9 +250,10 @@
         time_left_s: How long the replica may work on it, s.
         account: Name of the caller's account; None on public routes.
         priority: Rank, 0 is the most urgent.
-        backup: ``(host, port)`` of the replica that keeps a copy of the run's
-            memory as it grows; None for no copy.
-        copy_at: ``(host, port)`` of the copy to go on from; None for none.
+        backup_to: ``(host, port)`` of the replica that receives the KV backup
+            of the run as it grows; None for no backup.
+        restore_from: ``(host, port)`` of the replica whose KV backup the run
+            continues from; None to start anew.
         resume_after: Id of the last event delivered; None from the start.
         fetch_from: ``(host, port)`` of a replica that keeps more of the
             prompt; None for none.
@@ -259,7 +262,7 @@
     time_left_s: float
     account: ids.AccountName | None
     priority: int
-    backup: tuple[str, int] | None = None
-    copy_at: tuple[str, int] | None = None
+    backup_to: tuple[str, int] | None = None
+    restore_from: tuple[str, int] | None = None
     resume_after: bytes | None = None
     fetch_from: tuple[str, int] | None = None
--- a/gorsefall/relay/node.py
+++ b/gorsefall/relay/node.py
@@ -29,7 +29,7 @@
 from gorsefall.relay import settings
 from gorsefall.relay import workload
 
-PROOF_READY_SHARE = 0.9
+READY_CONFIRMATION_SHARE = 0.9
 """Part of the proof's bound after which the entry reports itself not ready,
 so that the balancer prefers entries that reach the store."""
 
@@ -37,10 +37,10 @@
 """Time after the stop signal in which new requests are still served, s: the
 balancer asks once a second and goes by two misses."""
 
-LAST_ANSWERS_S = 0.7
+KILL_MARGIN_S = 0.7
 """Time before the platform's kill at which what still runs is ended, s."""
 
-STOP_POLL_S = 0.05
+DRAIN_POLL_S = 0.05
 SETTINGS_POLL_S = 2.0
 """How often the settings file is looked at, s: it may change without a
 signal."""
@@ -51,7 +51,7 @@
 
     Attributes:
         cfg: The ``settings.Relay``.
-        dialect: The ``dialect.Dialect`` of the wire.
+        codec: The ``codec.Codec`` of the wire.
         loop: The ``reactor.Reactor``.
         table: The ``routes.Table`` in force; None before the first.
         proof: The ``freshness.Proof`` of the table.
@@ -70,7 +70,7 @@
 
         Args:
             path: Settings file.
-            adapter: Gives ``dialect``, ``records`` and
+            adapter: Gives ``codec``, ``records`` and
                 ``source(loop, addr, topic)`` of the wire, and the names of its
             topics: ``configuration_topic``, ``replicas_topic`` and
             ``crashes_topic``.
@@ -78,13 +78,14 @@
         self.cfg = settings.load(path)
         super().__init__(logs.get('node').bind(entry=self.cfg.name))
         self._path = path
-        self.dialect = adapter.dialect
+        self.codec = adapter.codec
         self.loop = reactor.Reactor().register(self)
         self.table = None
-        self.proof = freshness.Proof(self.cfg.revoke_s - pacing.PROOF_MARGIN_S)
+        self.confirmation = freshness.Proof(self.cfg.revoke_s -
+                                            pacing.PROOF_MARGIN_S)
         self.fleet = fleet.Fleet(self.loop, self._work_changed)
-        self.ends = ends.Ends(self.loop)
-        self.crashes = crashes.Crashes(self.loop, self.ends, self.fleet)
+        self.prober = ends.Ends(self.loop)
+        self.crashes = crashes.Crashes(self.loop, self.prober, self.fleet)
         self.work = workload.Workload(self.cfg.name, self.fleet,
                                       self.cfg.retries.window_s)
         self.announcing = announcing.Announcing(self.loop, self.fleet,
@@ -105,16 +106,16 @@
 
     def start(self):
         """Opens the listeners and starts following the store."""
-        self._callers = servers.Callers(self)
+        self._callers = servers.CallerServer(self)
         host, _ = settingsfile.split_addr(self.cfg.callers)
         self._listener = tcp.Listener(self.loop,
                                       settingsfile.split_addr(self.cfg.callers),
                                       self._callers.accept)
         tcp.Listener(self.loop, settingsfile.split_addr(self.cfg.readiness),
-                     servers.Readiness(self).accept)
+                     servers.ReadinessServer(self).accept)
         if self.cfg.metrics_port:
             tcp.Listener(self.loop, (host, self.cfg.metrics_port),
-                         servers.Metrics(self).accept)
+                         servers.MetricsServer(self).accept)
         if self.cfg.peers:
             self._peers = peers.Peers(self,
                                       settingsfile.split_addr(self.cfg.peers),
@@ -161,26 +162,28 @@
                       routes=len(table.routes),
                       keys=len(table.accounts))
 
-    def confirmed(self, sent_at):
+    def record_confirmation(self, sent_at):
         """Notes that the configuration was confirmed."""
-        self.proof.confirmed(sent_at)
+        self.confirmation.confirmed(sent_at)
         if not self._proven:
             self._proven = True
-            self.log.info('proof_regained', age_s=self.proof.logged_age_s())
+            self.log.info('proof_regained',
+                          age_s=self.confirmation.logged_age_s())
 
-    def ready(self):
+    def is_ready(self):
         """Returns whether new work may come here."""
         if self.draining or self.table is None or not self.replicas_known:
             return False
-        fresh = self.proof.age_s() <= self.proof.bound_s * PROOF_READY_SHARE
+        fresh = self.confirmation.age_s(
+        ) <= self.confirmation.bound_s * READY_CONFIRMATION_SHARE
         if not fresh and self._proven:
             self._proven = False
             self.log.warning('proof_lost',
-                             age_s=self.proof.logged_age_s(),
+                             age_s=self.confirmation.logged_age_s(),
                              told_by=self._reads.told_by)
         return (fresh or not self.table.keyed or not self.cfg.strict_revocation)
 
-    def budget(self, service):
+    def retry_budget(self, service):
         """Returns the ``budget.Budget`` of a service."""
         found = self._budgets.get(service)
         if found is None:
@@ -210,7 +213,7 @@
                                 limits=self.announcing.told(self.loop.now),
                                 ended=self.fleet.ended_of_late(self.loop.now))
 
-    def load_told(self, replica, load):
+    def record_load(self, replica, load):
         """Notes the ``model.Load`` that a replica told with an answer."""
         replicas = self.fleet.of(replica.record.service)
         self.share.seen(own=sum(r.target.outstanding for r in replicas),
@@ -219,19 +222,19 @@
         if self.work.view.members.alone:
             replica.target.report(load.running, load.waiting, self.loop.now)
 
-    def patience(self, service, kind):
+    def attempt_timeout(self, service, kind):
         """Returns the ``patience.Patience`` of a service and kind."""
         return self._patience.setdefault((service, kind), patience.Patience())
 
     # -- requests --------------------------------------------------------------
 
-    def begin(self, method, target, fields, body, reply):
+    def start_exchange(self, method, target, fields, body, reply):
         """Starts the exchange of a caller's request; returns it."""
         try:
-            req = self.dialect.decode_request(method, target, fields)
+            req = self.codec.decode_request(method, target, fields)
         except errors.BadRequestError as exc:
             self.log.info('bad_request', error=str(exc))
-            reply.whole(*outcomes.error_answer(exc))
+            reply.send(*outcomes.error_response(exc))
             return None
         req.body, req.body_digest = bytes(body.data), body.digest
         running = exchange.Exchange(self, req, reply)
@@ -239,14 +242,14 @@
         running.start()
         return running
 
-    def exchange_done(self, ended):
+    def remove_exchange(self, ended):
         """Called by an exchange at its end."""
         self._exchanges.discard(ended)
 
-    def measure(self):
+    def update_gauges(self):
         """Sets the gauges of what is believed and under way now."""
         metrics.RELAY_RUNNING.set(self.under_way)
-        metrics.PROOF_AGE.set(self.proof.age_s())
+        metrics.PROOF_AGE.set(self.confirmation.age_s())
         if self.table is not None:
             metrics.CATALOGUE_VERSION.set(self.table.version)
             for service in self.table.services:
@@ -281,7 +284,7 @@
             # next change is read again.
             self.log.error('reload_failed', error=str(exc))
             return
-        self.proof.bound_s = self.cfg.revoke_s - pacing.PROOF_MARGIN_S
+        self.confirmation.bound_s = self.cfg.revoke_s - pacing.PROOF_MARGIN_S
         for known in self._budgets.values():
             # Their counts stay: retries that were forgotten would be allowed
             # once more by every change of the settings.
@@ -306,7 +309,7 @@
     @property
     def drain_s(self):
         """See ``daemon.Daemon``."""
-        return self.cfg.grace_s - LAST_ANSWERS_S
+        return self.cfg.grace_s - KILL_MARGIN_S
 
     def stopping(self):
         """See ``daemon.Daemon``."""
@@ -326,11 +329,12 @@
         now = self.loop.now
         if self.shutdown.late(now):
             for running in list(self._exchanges):
-                running.cut()
-        if self.shutdown.over(now, self.under_way or self._callers.sending()):
+                running.abort()
+        if self.shutdown.over(now, self.under_way or
+                              self._callers.has_unsent()):
             self._finish()
             return
-        self.loop.later(STOP_POLL_S, self._check_drained)
+        self.loop.later(DRAIN_POLL_S, self._check_drained)
 
     def _finish(self):
         # From here to the exit nothing more may be read: a request that is
--- a/gorsefall/relay/outcomes.py
+++ b/gorsefall/relay/outcomes.py
@@ -17,7 +17,7 @@
     CALLER_LEFT = 'caller_left'
 
 
-class Late(enum.Enum):
+class LateReason(enum.Enum):
     """What kept an answer from full worth."""
     START = 'start'
     PAUSE = 'pause'
@@ -44,7 +44,7 @@
     return round(exc.retry_after, 2)
 
 
-def error_answer(exc):
+def error_response(exc):
     """Returns the ``(status, fields, body)`` of an error."""
     body = f'{exc.code}: {exc}\n'.encode()
     fields = [(b'Content-Type', b'text/plain; charset=utf-8')]
--- a/gorsefall/relay/sending.py
+++ b/gorsefall/relay/sending.py
@@ -16,23 +16,23 @@
 
     def __init__(self, exchange, replica, order, choice, *, writes):
         req = exchange.req
-        fields = exchange.node.dialect.encode_request(req, order)
+        fields = exchange.node.codec.encode_request(req, order)
         super().__init__(req.method, req.target, fields, req.body)
         self._exchange = exchange
         self._priority = order.priority
         self._answer = None
         self.replica = replica
-        self.began = time.monotonic()
+        self.sent_at = time.monotonic()
         self.first_at = None
         self._pulse = stalls.Pulse(replica.target)
         self._choice = choice
-        self.channel = None
-        self.place = contextlib.ExitStack()
-        self.prompt_read = self.place.enter_context(
+        self.conn = None
+        self.occupancy = contextlib.ExitStack()
+        self.prefill_done = self.occupancy.enter_context(
             replica.occupied(choice.tokens, writes=writes))
 
     @property
-    def begun(self):
+    def response_started(self):
         """Whether the first of its answer has come."""
         return self.first_at is not None
 
@@ -55,19 +55,19 @@
             source=choice.source.name if choice.source else None,
             limit_per_s=self.replica.limit.per_s,
             version=node.table.version,
-            proof_age_s=node.proof.logged_age_s())
+            proof_age_s=node.confirmation.logged_age_s())
 
-    def note_start(self, known):
+    def record_response_start(self, known):
         """Tells the ``pace.Pace`` of its service when its answer began."""
-        known.began((time.monotonic() - self.began) * 1000,
+        known.began((time.monotonic() - self.sent_at) * 1000,
                     self._choice.ahead + self._choice.tokens,
                     self._choice.slowness)
 
-    def note_end(self, known):
+    def record_duration(self, known):
         """Tells the ``pace.Pace`` of its service how long it stayed."""
-        known.stay.ended((time.monotonic() - self.began) * 1000)
+        known.stay.ended((time.monotonic() - self.sent_at) * 1000)
 
-    def events_came(self, count):
+    def record_events(self, count):
         """Notes that events of its stream came together."""
         self._pulse.came(count, time.monotonic())
 
@@ -79,31 +79,31 @@
     def pause(self):
         """Reads no more until its caller has taken what came."""
         self._pulse.paused()
-        self.channel.pause()
+        self.conn.pause()
 
     def is_mine(self, status, fields):
         """See ``outbound.Call``."""
-        self._answer = self._exchange.node.dialect.decode_answer(status, fields)
+        self._answer = self._exchange.node.codec.decode_response(status, fields)
         return self._answer.request_id in (None, self._exchange.req.id)
 
     def on_head(self, status, fields):
         """See ``outbound.Call``; ``is_mine`` has decoded it."""
         load = self._answer.load
         if load is not None:
-            self._exchange.node.load_told(self.replica, load)
+            self._exchange.node.record_load(self.replica, load)
         if not self._answer.misdirected:
             self._exchange.node.announcing.answered(self.replica,
                                                     self._answer.limit_per_s)
-        self._exchange.answer_began(self._answer)
+        self._exchange.on_response_head(self._answer)
 
     def on_data(self, data):
         """See ``outbound.Call``."""
-        self._exchange.answer_data(self, data)
+        self._exchange.on_response_data(self, data)
 
     def on_end(self):
         """See ``outbound.Call``."""
-        self._exchange.answer_ended(self, self._answer)
+        self._exchange.on_response_end(self, self._answer)
 
     def on_fail(self, failure):
         """See ``outbound.Call``."""
-        self._exchange.attempt_failed(self, failure)
+        self._exchange.on_attempt_failed(self, failure)
--- a/gorsefall/relay/servers.py
+++ b/gorsefall/relay/servers.py
@@ -6,12 +6,12 @@
 from gorsefall.relay import outcomes
 
 
-class _Channels:
+class _Server:
     """What the server ends of channels share: which are open."""
 
     def __init__(self, node):
         self.node = node
-        self.open = set()
+        self.conns = set()
 
     @property
     def limits(self):
@@ -26,56 +26,56 @@
 
     def accept(self, sock):
         """Takes a new connection."""
-        self.open.add(inbound.Channel(self.node.loop, self, sock))
+        self.conns.add(inbound.CallerConnection(self.node.loop, self, sock))
 
-    def channel_closed(self, channel):
+    def on_conn_closed(self, channel):
         """Called by a channel at its end."""
-        self.open.discard(channel)
+        self.conns.discard(channel)
 
-    def error_answer(self, exc):
+    def error_response(self, exc):
         """Returns status, fields and body for ``exc``."""
-        return outcomes.error_answer(exc)
+        return outcomes.error_response(exc)
 
 
-class Callers(_Channels):
+class CallerServer(_Server):
     """Serves callers."""
 
-    def begin(self, method, target, fields, body, reply):
+    def handle_request(self, method, target, fields, body, reply):
         """Starts the exchange of a whole request."""
-        return self.node.begin(method, target, fields, body, reply)
+        return self.node.start_exchange(method, target, fields, body, reply)
 
-    def sending(self):
+    def has_unsent(self):
         """Returns whether an answer is still on its way to a caller."""
-        return any(channel.sending for channel in self.open)
+        return any(channel.has_unsent for channel in self.conns)
 
     def close_all(self):
         """Closes every channel."""
-        for channel in list(self.open):
+        for channel in list(self.conns):
             channel.close()
 
     def close_idle(self):
         """Closes the channels on which nothing is under way."""
-        for channel in list(self.open):
+        for channel in list(self.conns):
             if channel.idle:
                 channel.close()
 
 
-class Readiness(_Channels):
+class ReadinessServer(_Server):
     """Answers the balancer."""
 
-    def begin(self, method, target, fields, body, reply):
+    def handle_request(self, method, target, fields, body, reply):
         """Answers 200 while new work may come here, else 503."""
         del method, target, fields, body
-        status = 200 if self.node.ready() else 503
-        reply.whole(status, [(b'Content-Type', b'text/plain')], b'')
+        status = 200 if self.node.is_ready() else 503
+        reply.send(status, [(b'Content-Type', b'text/plain')], b'')
 
 
-class Metrics(_Channels):
+class MetricsServer(_Server):
     """Serves the metrics page."""
 
-    def begin(self, method, target, fields, body, reply):
+    def handle_request(self, method, target, fields, body, reply):
         """Answers with all counters and histograms."""
         del method, target, fields, body
-        self.node.measure()
+        self.node.update_gauges()
         page, content_type = metrics.render()
-        reply.whole(200, [(b'Content-Type', content_type.encode())], page)
+        reply.send(200, [(b'Content-Type', content_type.encode())], page)
--- a/gorsefall/relay/settings.py
+++ b/gorsefall/relay/settings.py
@@ -5,7 +5,7 @@
 from gorsefall import settingsfile
 from gorsefall.policy import budget
 
-MAX_KEY_BYTES = 64
+MAX_DIGEST_KEY_BYTES = 64
 """Longest key that the digests take."""
 
 
@@ -82,8 +82,8 @@
             yield f'{key}: must not be empty'
     if not 0 <= cfg.metrics_port < 65536:
         yield f'metrics_port: {cfg.metrics_port} is no port'
-    if len(cfg.digest_key.encode()) > MAX_KEY_BYTES:
-        yield f'digest_key: over {MAX_KEY_BYTES} bytes'
+    if len(cfg.digest_key.encode()) > MAX_DIGEST_KEY_BYTES:
+        yield f'digest_key: over {MAX_DIGEST_KEY_BYTES} bytes'
     if cfg.retries.window_s <= 0:
         yield 'retries.window_s: must be over 0'
 
--- a/tests/test_announced.py
+++ b/tests/test_announced.py
@@ -128,8 +128,8 @@
 
 
 def _entry(name):
-    replica = types.SimpleNamespace(record=types.SimpleNamespace(id='r',
-                                                                 born=7),
+    replica = types.SimpleNamespace(record=types.SimpleNamespace(
+        id='r', started_at_ms=7),
                                     limit=announced.Announced())
     fleet = types.SimpleNamespace(replicas={'r': replica})
     loop = _Loop()
@@ -159,7 +159,7 @@
     one, replica, _ = _entry('a')
     other, same, _ = _entry('b')
     one.answered(replica, 1.5)
-    same.record.born = 8
+    same.record.started_at_ms = 8
     _tell(one, other, 100.0)
     assert same.limit.per_s is None
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,7 +7,7 @@
 
 from gorsefall.policy import membership
 from gorsefall.policy import prompts
-from gorsefall.relay import copies
+from gorsefall.relay import backups
 from gorsefall.relay import fleet
 from gorsefall.relay import model
 
@@ -33,7 +33,7 @@
                                zone='z',
                                slots=4,
                                status=status,
-                               born=born)
+                               started_at_ms=born)
 
 
 def names(directory, service='s'):
@@ -184,10 +184,10 @@
 
 def test_a_copy_at_a_replica_that_started_again_is_gone():
     directory = _fleet(record('a', born=1000), record('b', born=1000))
-    copy = copies.Copy(Loop(), directory)
-    copy.order([directory.replicas['b']], 'request')
+    copy = backups.KvBackup(Loop(), directory)
+    copy.choose_holder([directory.replicas['b']], 'request')
     directory.put(record('b', born=2000))
-    assert copy.take() is None
+    assert copy.claim() is None
 
 
 def test_a_spoilt_record_names_no_replica_and_the_others_hold():
--- a/tests/test_inbound.py
+++ b/tests/test_inbound.py
@@ -21,14 +21,14 @@
         self.seen = []
         self.closed = 0
 
-    def begin(self, method, target, fields, body, reply):
+    def handle_request(self, method, target, fields, body, reply):
         self.seen.append((method, target, bytes(body.data)))
-        reply.whole(200, [(b'X-Target', target)], bytes(body.data))
+        reply.send(200, [(b'X-Target', target)], bytes(body.data))
 
-    def error_answer(self, exc):
-        return outcomes.error_answer(exc)
+    def error_response(self, exc):
+        return outcomes.error_response(exc)
 
-    def channel_closed(self, channel):
+    def on_conn_closed(self, channel):
         self.closed += 1
 
 
@@ -66,7 +66,7 @@
         return enough(server, bytes(got))
 
     with peers.loop() as loop:
-        inbound.Channel(loop, server, accepted)
+        inbound.CallerConnection(loop, server, accepted)
         start = 0
         for cut in [*sorted(c % (len(data) + 1) for c in cuts), len(data)]:
             client.sendall(data[start:cut])
@@ -129,13 +129,13 @@
         super().__init__()
         self.reply = None
 
-    def begin(self, method, target, fields, body, reply):
+    def handle_request(self, method, target, fields, body, reply):
         self.seen.append((method, target, bytes(body.data)))
         if self.reply is not None:
-            reply.whole(200, [], bytes(body.data))
+            reply.send(200, [], bytes(body.data))
             return
         self.reply = reply
-        reply.head(200, [])
+        reply.start(200, [])
 
 
 def test_a_channel_whose_answer_ends_late_in_a_shutdown_is_closed():
@@ -150,14 +150,14 @@
     server = Streaming()
     with peers.loop() as loop:
         client, accepted = _connected()
-        channel = inbound.Channel(loop, server, accepted)
+        channel = inbound.CallerConnection(loop, server, accepted)
         client.sendall(encode(b'/long', b'', False))
         peers.run(loop, lambda: server.reply)
         server.draining = True
         server.reply.end()
         client.sendall(encode(b'/next', b'', False))
         peers.run(loop, lambda: server.closed)
-        assert not channel.sending
+        assert not channel.has_unsent
     client.close()
     assert [target for _, target, _ in server.seen] == [b'/long']
 
@@ -167,7 +167,7 @@
     server = Streaming()
     with peers.loop() as loop:
         client, accepted = _connected()
-        inbound.Channel(loop, server, accepted)
+        inbound.CallerConnection(loop, server, accepted)
         client.sendall(
             encode(b'/long', b'', False) + encode(b'/next', b'', False))
         peers.run(loop, lambda: server.reply)
--- a/tests/test_revocation.py
+++ b/tests/test_revocation.py
@@ -17,7 +17,7 @@
 ROUTE = model.Route(name='r',
                     host='h',
                     prefix='/',
-                    kind=model.Kind.IDEMPOTENT,
+                    kind=model.RouteKind.IDEMPOTENT,
                     timeout_s=1.0,
                     target_s=0.2,
                     priority=0,
@@ -45,7 +45,7 @@
 
 def _grant(table, key, *, strict):
     entry = types.SimpleNamespace(table=table,
-                                  proof=freshness.Proof(1.0),
+                                  confirmation=freshness.Proof(1.0),
                                   cfg=_settings(strict_revocation=strict))
     req = model.CallerRequest(id='1',
                               method=b'GET',
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -20,7 +20,7 @@
     return model.Route(name=f'{host}{prefix}',
                        host=host,
                        prefix=prefix,
-                       kind=model.Kind.IDEMPOTENT,
+                       kind=model.RouteKind.IDEMPOTENT,
                        timeout_s=1.0,
                        target_s=0.1,
                        priority=1,
