--- a/gorsefall/relay/exchange.py
+++ b/gorsefall/relay/exchange.py
@@ -7,14 +7,14 @@
 from gorsefall import logs
 from gorsefall import serving
 from gorsefall.net import outbound
+from gorsefall.policy import attempt_timeouts
 from gorsefall.policy import attempts
-from gorsefall.policy import comeback
-from gorsefall.policy import patience
 from gorsefall.policy import placement
+from gorsefall.policy import retry_delay
+from gorsefall.relay import accesslog
 from gorsefall.relay import backups
 from gorsefall.relay import crashes
 from gorsefall.relay import delivery
-from gorsefall.relay import accesslog
 from gorsefall.relay import grant
 from gorsefall.relay import outcomes
 from gorsefall.relay import sending
@@ -72,20 +72,20 @@
     @property
     def terms(self):
         """See ``serving.Serving``."""
-        return attempts.Terms(repeatable=not self._grant.non_repeatable,
-                              most=self._grant.route.max_attempts)
+        return attempts.RetryTerms(repeatable=not self._grant.non_repeatable,
+                                   max_attempts=self._grant.route.max_attempts)
 
     def _budget(self):
         """Returns the ``budget.Budget`` that its retries are taken from."""
         return self.node.retry_budget(self._grant.service)
 
-    def _patience(self):
-        """Returns the ``patience.Patience`` with its service's answers."""
-        return self.node.attempt_timeout(self._grant.service,
-                                         self._grant.route.kind)
+    def _start_latency(self):
+        """Returns its service's ``attempt_timeouts.StartLatency``."""
+        return self.node.start_latency(self._grant.service,
+                                       self._grant.route.kind)
 
     def _speed(self):
-        """Returns the ``pace.Pace`` of its service's replicas."""
+        """Returns the ``pace.ServiceSpeed`` of its service's replicas."""
         return self.node.work.service(self._grant.service).speed
 
     def _time_left(self):
@@ -96,7 +96,7 @@
         return (bool(
             self.node.fleet.candidates(self._grant.service,
                                        self.attempts.tried)) and
-                self._budget().take(time.monotonic()))
+                self._budget().acquire(time.monotonic()))
 
     # -- sending ---------------------------------------------------------------
 
@@ -110,36 +110,36 @@
             return
         choice = self._grant.choose_replica(
             self.attempts.tried,
-            refuse=not self.attempts.names,
-            emptiest=self.node.crashes.suspects.held(self.digest))
+            refuse=not self.attempts.replicas,
+            emptiest=self.node.crashes.suspects.must_serialize(self.digest))
         if choice is None:
             raise errors.NoReplicaError(
                 f'no replica of {self._grant.service} is left',
-                retry_after=comeback.soon_s())
+                retry_after=retry_delay.short_delay_s())
         self._send(self.node.fleet.replicas[choice.target.name], choice)
 
     def _send(self, replica, choice, *, from_copy=False):
         now = time.monotonic()
-        if not self.attempts.names:
-            self._budget().first(now)
-        self.attempts.sent(replica.record.id)
-        replica.limit.sent(now)
+        if not self.attempts.replicas:
+            self._budget().record_first_attempt(now)
+        self.attempts.record_sent(replica.record.id)
+        replica.limit.record_sent(now)
         order = self._grant.attempt_options(
             replica.record,
             time_left_s=self._time_left(),
             backup=None if from_copy else self._order_copy(replica),
             from_copy=from_copy,
             resume_after=self._delivery.last_event_id,
-            source=choice.source)
+            source=choice.fetch_source)
         if self.req.prompt is not None:
             self.node.work.prompt_sent(replica, self.req.prompt.shared)
         self._attempt = sending.Attempt(self,
                                         replica,
                                         order,
                                         choice,
-                                        writes=self._grant.profile.writes)
+                                        writes=self._grant.profile.decode_heavy)
         self._attempt.conn = replica.pool.send(self._attempt)
-        self._attempt.log_sent(self._grant.service, len(self.attempts.names))
+        self._attempt.log_sent(self._grant.service, len(self.attempts.replicas))
         self._watch_attempt()
 
     def _order_copy(self, replica):
@@ -151,11 +151,11 @@
         return self._copy.choose_holder(others, self.req.id)
 
     def _watch_attempt(self):
-        if self.attempts.may_repeat(self.terms):
+        if self.attempts.may_run_concurrently(self.terms):
             self._set_attempt_timer(
-                patience.attempt_s(self._patience(),
-                                   self._time_left(),
-                                   streams=self._grant.streams))
+                attempt_timeouts.attempt_s(self._start_latency(),
+                                           self._time_left(),
+                                           streams=self._grant.streams))
 
     def _set_attempt_timer(self, wait_s):
         if self._attempt_timer is not None:
@@ -185,13 +185,13 @@
 
     def _repeatable_elsewhere(self):
         """Whether another replica may be asked, and there is one."""
-        return (self.attempts.may_repeat(self.terms) and
-                self._budget().room(time.monotonic()) >= 1 and bool(
+        return (self.attempts.may_run_concurrently(self.terms) and
+                self._budget().available(time.monotonic()) >= 1 and bool(
                     self.node.work.targets(self._grant.service,
                                            self.attempts.tried)))
 
     def _note_wait(self, attempt):
-        self._patience().began(time.monotonic() - attempt.sent_at)
+        self._start_latency().record(time.monotonic() - attempt.sent_at)
 
     # -- what a replica answers ------------------------------------------------
 
@@ -224,9 +224,9 @@
             return
         attempt.record_events(self._delivery.event_count)
         if self._restorable():
-            self._set_attempt_timer(patience.COPY_GAP_S)
-        elif self.attempts.may_repeat(self.terms):
-            self._set_attempt_timer(patience.STREAM_GAP_S)
+            self._set_attempt_timer(attempt_timeouts.BACKUP_GAP_S)
+        elif self.attempts.may_run_concurrently(self.terms):
+            self._set_attempt_timer(attempt_timeouts.STREAM_GAP_S)
         if not self._delivery.forward(data):
             attempt.pause()
 
@@ -242,7 +242,7 @@
             self._refused(attempt, answer)
             return
         health = attempt.replica.target
-        health.succeeded()
+        health.record_success()
         attempt.replica.ended_at = None
         self.node.crashes.ran(self.digest)
         attempt.record_duration(self._speed())
@@ -250,7 +250,7 @@
             attempt.replica, answer.status < INTERNAL_ERROR_STATUS or
             answer.status == TIMEOUT_STATUS)
         if answer.success and not answer.genuine:
-            health.failed(time.monotonic())
+            health.record_failure(time.monotonic())
             self._again_or_unknown('its answer is not its own')
         elif self._delivery.streaming:
             self._delivery.end()
@@ -266,7 +266,7 @@
                        Outcome.REPLICA_FAILED)
 
     def _refused(self, attempt, answer):
-        self.attempts.refused()
+        self.attempts.record_refusal()
         if answer.misdirected:
             self.node.fleet.replaced(attempt.replica.record.id)
         self.log.info('not_run',
@@ -276,26 +276,26 @@
         self.again_or(
             errors.ReplicaRefusedError(
                 f'the replica refused it ({answer.status})',
-                retry_after=comeback.soon_s()), 'not run')
+                retry_after=retry_delay.short_delay_s()), 'not run')
 
     def on_attempt_failed(self, attempt, failure):
         """Called when an attempt ended without a whole answer."""
         self._close_attempt(attempt)
         now = time.monotonic()
-        attempt.replica.target.failed(now)
+        attempt.replica.target.record_failure(now)
         self.log.info('attempt_failed',
                       replica=attempt.replica.record.id,
                       reason=failure.reason,
                       sent=failure.sent,
                       after_ms=round((now - attempt.sent_at) * 1000, 1))
         if not failure.sent:
-            self.attempts.not_reached()
+            self.attempts.record_unreached()
             self.restart()
         elif failure.broke:
             run = crashes.Run(self.digest,
                               attempt.sent_at,
                               attempt.first_at,
-                              again=len(self.attempts.names) > 1)
+                              again=len(self.attempts.replicas) > 1)
             self.node.crashes.broke(
                 attempt.replica, run,
                 lambda: self._after_failure(attempt, failure.reason))
@@ -305,15 +305,15 @@
     def _after_failure(self, attempt, reason):
         if self.done:
             return
-        if self.node.crashes.suspects.held(self.digest):
-            self.fail(self.attempts.unknown(reason))
+        if self.node.crashes.suspects.must_serialize(self.digest):
+            self.fail(self.attempts.outcome_unknown_error(reason))
         elif self._restorable():
             self._look_after(attempt, reason)
         else:
             self._again_or_unknown(reason)
 
     def _again_or_unknown(self, reason):
-        self.again_or(self.attempts.unknown(reason), reason)
+        self.again_or(self.attempts.outcome_unknown_error(reason), reason)
 
     def discard(self):
         """See ``serving.Serving``."""
@@ -334,7 +334,7 @@
             elif broken:
                 self._again_or_unknown(broken)
             else:
-                self._set_attempt_timer(patience.COPY_GAP_S)
+                self._set_attempt_timer(attempt_timeouts.BACKUP_GAP_S)
 
         self._copy.probe(attempt.replica, looked)
 
@@ -343,11 +343,11 @@
         if self._attempt is not None:
             attempt.conn.cancel()
             self._close_attempt(attempt)
-            attempt.replica.target.failed(time.monotonic())
+            attempt.replica.target.record_failure(time.monotonic())
         replica = self._copy.claim()
-        if (replica is None or not self._budget().take(time.monotonic())):
+        if (replica is None or not self._budget().acquire(time.monotonic())):
             self.fail(
-                self.attempts.unknown(
+                self.attempts.outcome_unknown_error(
                     'its replica is gone, and no copy is left'))
             return
         self.log.info('restored',
@@ -357,12 +357,13 @@
         try:
             self._grant.renew()
             if not self.node.crashes.begin(self.digest, self):
-                raise self.attempts.unknown('another run of it is under way')
+                raise self.attempts.outcome_unknown_error(
+                    'another run of it is under way')
             self._send(replica,
                        placement.Choice(replica.target),
                        from_copy=True)
         except errors.GorsefallError as exc:
-            self.fail(self.attempts.honest(exc, str(exc), self.terms))
+            self.fail(self.attempts.reportable_error(exc, str(exc), self.terms))
 
     # -- endings ---------------------------------------------------------------
 
@@ -378,20 +379,21 @@
         else:
             self.fail(
                 errors.DeadlineError('could not be sent in time',
-                                     retry_after=comeback.soon_s()))
+                                     retry_after=retry_delay.short_delay_s()))
 
     def abort(self):
         """Ends the exchange because the process ends."""
         self._drop_attempt()
         why = 'the entry is shutting down'
         self.fail(
-            self.attempts.honest(errors.DrainingError(why), why, self.terms))
+            self.attempts.reportable_error(errors.DrainingError(why), why,
+                                           self.terms))
 
     def _drop_attempt(self):
         attempt = self._attempt
         if attempt is not None:
             if not attempt.conn.cancel():
-                self.attempts.withdrawn()
+                self.attempts.record_withdrawal()
             self._close_attempt(attempt)
 
     def _close_attempt(self, attempt):
--- a/gorsefall/relay/node.py
+++ b/gorsefall/relay/node.py
@@ -10,10 +10,10 @@
 from gorsefall import settingsfile
 from gorsefall.net import reactor
 from gorsefall.net import tcp
+from gorsefall.policy import attempt_timeouts
 from gorsefall.policy import budget
 from gorsefall.policy import freshness
-from gorsefall.policy import patience
-from gorsefall.policy import share
+from gorsefall.policy import traffic_share
 from gorsefall.relay import announcing
 from gorsefall.relay import crashes
 from gorsefall.relay import ends
@@ -54,13 +54,13 @@
         codec: The ``codec.Codec`` of the wire.
         loop: The ``reactor.Reactor``.
         table: The ``routes.Table`` in force; None before the first.
-        proof: The ``freshness.Proof`` of the table.
+        proof: The ``freshness.Confirmation`` of the table.
         fleet: The ``fleet.Fleet``.
         ends: The ``ends.Ends`` of its replicas.
         crashes: The ``crashes.Crashes`` of requests there.
         work: The ``workload.Workload`` at its replicas.
         announcing: The ``announcing.Announcing`` of its replicas' limits.
-        share: The ``share.Share`` of the traffic that comes here.
+        share: The ``traffic_share.TrafficShare`` of this entry.
         replicas_known: Whether the replicas were listed once.
     """
     channel = 'node'
@@ -81,8 +81,8 @@
         self.codec = adapter.codec
         self.loop = reactor.Reactor().register(self)
         self.table = None
-        self.confirmation = freshness.Proof(self.cfg.revoke_s -
-                                            pacing.PROOF_MARGIN_S)
+        self.confirmation = freshness.Confirmation(self.cfg.revoke_s -
+                                                   pacing.PROOF_MARGIN_S)
         self.fleet = fleet.Fleet(self.loop, self._work_changed)
         self.prober = ends.Ends(self.loop)
         self.crashes = crashes.Crashes(self.loop, self.prober, self.fleet)
@@ -93,7 +93,7 @@
         self._peers = None
         self.replicas_known = False
         self._proven = False
-        self.share = share.Share()
+        self.share = traffic_share.TrafficShare()
         self._budgets = {}
         self._patience = {}
         self._reads = following.Following(self, adapter)
@@ -164,7 +164,7 @@
 
     def record_confirmation(self, sent_at):
         """Notes that the configuration was confirmed."""
-        self.confirmation.confirmed(sent_at)
+        self.confirmation.record_read(sent_at)
         if not self._proven:
             self._proven = True
             self.log.info('proof_regained',
@@ -199,32 +199,36 @@
     def status(self, boot, seq, hosts):
         """Returns the ``membership.Status`` to tell the other entries."""
         firsts = {
-            service: known.firsts(self.loop.now)
+            service: known.first_attempts(self.loop.now)
             for service, known in self._budgets.items()
         }
-        return self.work.status(boot,
-                                seq,
-                                hosts,
-                                firsts=firsts,
-                                zone=self.cfg.zone,
-                                reads=self._reads.able and not self.draining,
-                                sightings=self.crashes.told(self.loop.now),
-                                suspects=self.crashes.suspects.summary,
-                                limits=self.announcing.told(self.loop.now),
-                                ended=self.fleet.ended_of_late(self.loop.now))
+        return self.work.status(
+            boot,
+            seq,
+            hosts,
+            first_attempts=firsts,
+            zone=self.cfg.zone,
+            can_read_store=self._reads.able and not self.draining,
+            run_reports=self.crashes.told(self.loop.now),
+            suspects_summary=self.crashes.suspects.summary,
+            limit_reports=self.announcing.told(self.loop.now),
+            replica_exits=self.fleet.ended_of_late(self.loop.now))
 
     def record_load(self, replica, load):
         """Notes the ``model.Load`` that a replica told with an answer."""
         replicas = self.fleet.of(replica.record.service)
-        self.share.seen(own=sum(r.target.outstanding for r in replicas),
-                        there=load.running + load.waiting,
-                        replicas=len(replicas))
+        self.share.record_sample(own=sum(
+            r.target.outstanding for r in replicas),
+                                 there=load.running + load.waiting,
+                                 replicas=len(replicas))
         if self.work.view.members.alone:
-            replica.target.report(load.running, load.waiting, self.loop.now)
+            replica.target.record_load(load.running, load.waiting,
+                                       self.loop.now)
 
-    def attempt_timeout(self, service, kind):
-        """Returns the ``patience.Patience`` of a service and kind."""
-        return self._patience.setdefault((service, kind), patience.Patience())
+    def start_latency(self, service, kind):
+        """Returns a service's and kind's ``attempt_timeouts.StartLatency``."""
+        return self._patience.setdefault((service, kind),
+                                         attempt_timeouts.StartLatency())
 
     # -- requests --------------------------------------------------------------
 
@@ -257,7 +261,7 @@
                     len(self.fleet.candidates(service, ())))
         now = self.loop.now
         for service, known in self._budgets.items():
-            metrics.RETRIES_LEFT.labels(service).set(known.room(now))
+            metrics.RETRIES_LEFT.labels(service).set(known.available(now))
 
     # -- settings --------------------------------------------------------------
 
@@ -327,11 +331,11 @@
         # next request crosses the close was not read and tries elsewhere.
         self._callers.close_idle()
         now = self.loop.now
-        if self.shutdown.late(now):
+        if self.shutdown.is_overdue(now):
             for running in list(self._exchanges):
                 running.abort()
-        if self.shutdown.over(now, self.under_way or
-                              self._callers.has_unsent()):
+        if self.shutdown.is_finished(
+                now, self.under_way or self._callers.has_unsent()):
             self._finish()
             return
         self.loop.later(DRAIN_POLL_S, self._check_drained)
