--- a/gorsefall/relay/crashes.py
+++ b/gorsefall/relay/crashes.py
@@ -171,7 +171,7 @@
 
     def _crashed(self, record, run, now):
         digest, weight = run.digest, run.weight(now)
-        crash = suspects.Crash(record.id, record.born)
+        crash = suspects.Crash(record.id, record.started_at_ms)
         before = self.suspects.is_blocked(digest, now)
         if not self.suspects.record_crash(digest, crash, weight, now):
             return
--- a/gorsefall/relay/fleet.py
+++ b/gorsefall/relay/fleet.py
@@ -63,7 +63,7 @@
                                           slots=record.slots,
                                           engine=service.engine,
                                           prompt_cache=prompts.PromptCache(
-                                              service.memory))
+                                              service.kv_tokens))
         cap = max(2, int(service.max_connections * CONNECTION_SHARE))
         self.pool = outbound.Pool(loop,
                                   record.addr,
@@ -134,12 +134,12 @@
     def put(self, record):
         """Adopts a replica's record."""
         old = self._records.get(record.id)
-        if old is not None and not old.same_start(record):
-            if record.born < old.born:
+        if old is not None and not old.same_incarnation(record):
+            if record.started_at_ms < old.started_at_ms:
                 self._log.warning('record_of_an_earlier_start',
                                   replica=record.id,
-                                  born=record.born,
-                                  known=old.born)
+                                  born=record.started_at_ms,
+                                  known=old.started_at_ms)
                 return
             self._started_again(record.id)
         self._records[record.id] = record
@@ -216,7 +216,7 @@
             rep.exited_at < EXIT_REPORT_WINDOW_S
         }
         return tuple(
-            membership.ReplicaExit(name, rep.record.born,
+            membership.ReplicaExit(name, rep.record.started_at_ms,
                                    max(0, int((now - rep.exited_at) * 1000)))
             for name, rep in list(self._ended.items())[:MAX_EXIT_REPORTS])
 
@@ -224,7 +224,8 @@
         """Takes in what the ``membership.Status`` of another entry tells."""
         for end in status.replica_exits:
             rep = self.replicas.get(end.replica)
-            if (rep is not None and rep.record.born == end.started_at_ms):
+            if (rep is not None and
+                    rep.record.started_at_ms == end.started_at_ms):
                 self.record_exit(rep, now - end.age_ms / 1000)
 
     def drop_replaced(self, replica_id):
--- a/gorsefall/relay/replicalimits.py
+++ b/gorsefall/relay/replicalimits.py
@@ -84,7 +84,7 @@
         """Returns the ``membership.LimitReport`` objects for a status."""
         return tuple(
             membership.LimitReport(
-                name, replica.record.born,
+                name, replica.record.started_at_ms,
                 int((now - replica.limit.announced_at) *
                     1000), replica.limit.per_s)
             for name, replica in self._announced.items()
@@ -95,6 +95,6 @@
         for limit in status.limit_reports:
             replica = self._fleet.replicas.get(limit.replica)
             if (replica is not None and
-                    replica.record.born == limit.started_at_ms):
+                    replica.record.started_at_ms == limit.started_at_ms):
                 self._heard(replica, limit.per_s,
                             self._loop.now - limit.age_ms / 1000)
--- a/gorsefall/relay/workload.py
+++ b/gorsefall/relay/workload.py
@@ -106,5 +106,5 @@
                                            seq,
                                            targets,
                                            time.monotonic(),
-                                           hosts=hosts,
+                                           known_hosts=hosts,
                                            **more)
