--- a/gorsefall/relay/exchange.py
+++ b/gorsefall/relay/exchange.py
@@ -7,20 +7,20 @@
 from gorsefall import logs
 from gorsefall import serving
 from gorsefall.net import outbound
+from gorsefall.policy import attempt_timeouts
 from gorsefall.policy import attempts
-from gorsefall.policy import comeback
-from gorsefall.policy import patience
 from gorsefall.policy import placement
-from gorsefall.relay import copies
+from gorsefall.policy import retry_delay
+from gorsefall.relay import accesslog
+from gorsefall.relay import backups
 from gorsefall.relay import crashes
 from gorsefall.relay import delivery
-from gorsefall.relay import ending
 from gorsefall.relay import grant
 from gorsefall.relay import outcomes
 from gorsefall.relay import sending
 
-INTERNAL = 500
-TIME_UP = 504
+INTERNAL_ERROR_STATUS = 500
+TIMEOUT_STATUS = 504
 """Statuses of a replica that failed, and of one whose time was up."""
 
 
@@ -38,7 +38,7 @@
         super().__init__(logs.get('exchange').bind(rid=req.id))
         self.node = node
         self.req = req
-        self._delivery = delivery.Delivery(node.dialect, reply)
+        self._delivery = delivery.Delivery(node.codec, reply)
         self._attempt = None
         self.digest = None
         self._grant = grant.Grant(node, req)
@@ -46,7 +46,7 @@
         self._deadline_timer = None
         self._attempt_timer = None
         self._longest_pause_s = 0.0
-        self._copy = copies.Copy(node.ends, node.fleet)
+        self._copy = backups.KvBackup(node.prober, node.fleet)
 
     # -- what may be done ------------------------------------------------------
 
@@ -66,26 +66,27 @@
             left = min(left, self.req.time_left_s)
         self._deadline = self.arrived + left
         self._deadline_timer = self.node.loop.call_later(left, self._time_up)
-        self._grant.asked()
+        self._grant.record_arrival()
         self.go_on()
 
     @property
     def terms(self):
         """See ``serving.Serving``."""
-        return attempts.Terms(repeatable=not self._grant.once,
-                              most=self._grant.route.max_attempts)
+        return attempts.RetryTerms(repeatable=not self._grant.non_repeatable,
+                                   max_attempts=self._grant.route.max_attempts)
 
     def _budget(self):
         """Returns the ``budget.Budget`` that its retries are taken from."""
-        return self.node.budget(self._grant.service)
+        return self.node.retry_budget(self._grant.service)
 
-    def _patience(self):
-        """Returns the ``patience.Patience`` with its service's answers."""
-        return self.node.patience(self._grant.service, self._grant.route.kind)
+    def _start_latency(self):
+        """Returns its service's ``attempt_timeouts.StartLatency``."""
+        return self.node.start_latency(self._grant.service,
+                                       self._grant.route.kind)
 
     def _speed(self):
-        """Returns the ``pace.Pace`` of its service's replicas."""
-        return self.node.work.service(self._grant.service).speed
+        """Returns the ``pace.ServiceSpeed`` of its service's replicas."""
+        return self.node.work.service_state(self._grant.service).speed
 
     def _time_left(self):
         return self._deadline - time.monotonic()
@@ -95,7 +96,7 @@
         return (bool(
             self.node.fleet.candidates(self._grant.service,
                                        self.attempts.tried)) and
-                self._budget().take(time.monotonic()))
+                self._budget().acquire(time.monotonic()))
 
     # -- sending ---------------------------------------------------------------
 
@@ -105,56 +106,56 @@
             # Asked again before each send: while the request waited, its
             # key may have been revoked or its route moved.
             self._grant.renew()
-        if not self.node.crashes.begin(self.digest, self):
+        if not self.node.crashes.try_begin_run(self.digest, self):
             return
-        choice = self._grant.place(self.attempts.tried,
-                                   refuse=not self.attempts.names,
-                                   emptiest=self.node.crashes.suspects.held(
-                                       self.digest))
+        choice = self._grant.choose_replica(
+            self.attempts.tried,
+            refuse=not self.attempts.replicas,
+            emptiest=self.node.crashes.suspects.must_serialize(self.digest))
         if choice is None:
             raise errors.NoReplicaError(
                 f'no replica of {self._grant.service} is left',
-                retry_after=comeback.soon_s())
+                retry_after=retry_delay.short_delay_s())
         self._send(self.node.fleet.replicas[choice.target.name], choice)
 
     def _send(self, replica, choice, *, from_copy=False):
         now = time.monotonic()
-        if not self.attempts.names:
-            self._budget().first(now)
-        self.attempts.sent(replica.record.id)
-        replica.limit.sent(now)
-        order = self._grant.order(
+        if not self.attempts.replicas:
+            self._budget().record_first_attempt(now)
+        self.attempts.record_sent(replica.record.id)
+        replica.limit.record_sent(now)
+        order = self._grant.attempt_options(
             replica.record,
             time_left_s=self._time_left(),
             backup=None if from_copy else self._order_copy(replica),
             from_copy=from_copy,
-            resume_after=self._delivery.last_id,
-            source=choice.source)
+            resume_after=self._delivery.last_event_id,
+            source=choice.fetch_source)
         if self.req.prompt is not None:
-            self.node.work.prompt_sent(replica, self.req.prompt.shared)
+            self.node.work.record_prompt(replica, self.req.prompt.shared)
         self._attempt = sending.Attempt(self,
                                         replica,
                                         order,
                                         choice,
-                                        writes=self._grant.want.writes)
-        self._attempt.channel = replica.pool.send(self._attempt)
-        self._attempt.log_sent(self._grant.service, len(self.attempts.names))
+                                        writes=self._grant.profile.decode_heavy)
+        self._attempt.conn = replica.pool.send(self._attempt)
+        self._attempt.log_sent(self._grant.service, len(self.attempts.replicas))
         self._watch_attempt()
 
     def _order_copy(self, replica):
         """Returns the address of the replica that copies the run, or None."""
-        if not self._grant.copied:
+        if not self._grant.needs_backup:
             return None
         others = self.node.fleet.candidates(self._grant.service,
                                             {replica.record.id})
-        return self._copy.order(others, self.req.id)
+        return self._copy.choose_holder(others, self.req.id)
 
     def _watch_attempt(self):
-        if self.attempts.may_repeat(self.terms):
+        if self.attempts.may_run_concurrently(self.terms):
             self._set_attempt_timer(
-                patience.attempt_s(self._patience(),
-                                   self._time_left(),
-                                   streams=self._grant.streams))
+                attempt_timeouts.attempt_s(self._start_latency(),
+                                           self._time_left(),
+                                           streams=self._grant.streams))
 
     def _set_attempt_timer(self, wait_s):
         if self._attempt_timer is not None:
@@ -178,96 +179,97 @@
             # later; given up here, its answer would be lost.
             self._watch_attempt()
             return
-        attempt.channel.cancel()
-        if not attempt.begun:
+        attempt.conn.cancel()
+        if not attempt.response_started:
             self._note_wait(attempt)
-        self.attempt_failed(attempt, outbound.Failure(True, 'silent'))
+        self.on_attempt_failed(attempt, outbound.Failure(True, 'silent'))
 
     def _repeatable_elsewhere(self):
         """Whether another replica may be asked, and there is one."""
-        return (self.attempts.may_repeat(self.terms) and
-                self._budget().room(time.monotonic()) >= 1 and bool(
-                    self.node.work.targets(self._grant.service,
-                                           self.attempts.tried)))
+        return (self.attempts.may_run_concurrently(self.terms) and
+                self._budget().available(time.monotonic()) >= 1 and bool(
+                    self.node.work.candidate_views(self._grant.service,
+                                                   self.attempts.tried)))
 
     def _note_wait(self, attempt):
-        self._patience().began(time.monotonic() - attempt.began)
+        self._start_latency().record(time.monotonic() - attempt.sent_at)
 
     # -- what a replica answers ------------------------------------------------
 
-    def answer_began(self, answer):
+    def on_response_head(self, answer):
         """Called with the head of an answer."""
         self._delivery.begin(answer, streams=self._grant.streams)
 
-    def answer_data(self, attempt, data):
+    def on_response_data(self, attempt, data):
         """Called with a piece of an answer's body."""
         if self.first_at is None:
             self.first_at = time.monotonic()
-        if not attempt.begun:
+        if not attempt.response_started:
             attempt.first_at = time.monotonic()
             self._note_wait(attempt)
-            attempt.note_start(self._speed())
-        attempt.prompt_read()
+            attempt.record_response_start(self._speed())
+        attempt.prefill_done()
         if self._delivery.streaming:
-            self._pass_on(attempt, self._delivery.split(data))
-        elif self._delivery.hold(data):
+            self._pass_on(attempt, self._delivery.split_events(data))
+        elif self._delivery.buffer(data):
             # Bounded in all, a long answer would be cut off and run anew.
             self._watch_attempt()
         else:
-            attempt.channel.cancel()
+            attempt.conn.cancel()
             failure = outbound.Failure(
-                True, f'answer over {delivery.MAX_HELD} bytes')
-            self.attempt_failed(attempt, failure)
+                True, f'answer over {delivery.MAX_BUFFERED_BYTES} bytes')
+            self.on_attempt_failed(attempt, failure)
 
     def _pass_on(self, attempt, data):
         if not data:
             return
-        attempt.events_came(self._delivery.whole_events)
+        attempt.record_events(self._delivery.event_count)
         if self._restorable():
-            self._set_attempt_timer(patience.COPY_GAP_S)
-        elif self.attempts.may_repeat(self.terms):
-            self._set_attempt_timer(patience.STREAM_GAP_S)
-        if not self._delivery.pass_on(data):
+            self._set_attempt_timer(attempt_timeouts.BACKUP_GAP_S)
+        elif self.attempts.may_run_concurrently(self.terms):
+            self._set_attempt_timer(attempt_timeouts.STREAM_GAP_S)
+        if not self._delivery.forward(data):
             attempt.pause()
 
-    def caller_drained(self):
+    def on_caller_drained(self):
         """Called when the caller has taken all that was sent to it."""
         if self._attempt is not None:
-            self._attempt.channel.resume()
+            self._attempt.conn.resume()
 
-    def answer_ended(self, attempt, answer):
+    def on_response_end(self, attempt, answer):
         """Called when an answer is whole."""
         self._close_attempt(attempt)
         if answer.not_run:
             self._refused(attempt, answer)
             return
-        health = attempt.replica.target
-        health.succeeded()
-        attempt.replica.ended_at = None
-        self.node.crashes.ran(self.digest)
-        attempt.note_end(self._speed())
-        self.node.work.answered(
-            attempt.replica, answer.status < INTERNAL or
-            answer.status == TIME_UP)
+        health = attempt.replica.view
+        health.record_success()
+        attempt.replica.exited_at = None
+        self.node.crashes.record_completed_run(self.digest)
+        attempt.record_duration(self._speed())
+        self.node.work.record_response(
+            attempt.replica, answer.status < INTERNAL_ERROR_STATUS or
+            answer.status == TIMEOUT_STATUS)
         if answer.success and not answer.genuine:
-            health.failed(time.monotonic())
+            health.record_failure(time.monotonic())
             self._again_or_unknown('its answer is not its own')
         elif self._delivery.streaming:
             self._delivery.end()
             self.close(outcomes.Outcome.SERVED)
         elif self._delivery.resuming:
             self._again_or_unknown(f'resuming gave {answer.status}')
-        elif answer.status != INTERNAL or not self.again(f'status {INTERNAL}'):
+        elif answer.status != INTERNAL_ERROR_STATUS or not self.again(
+                f'status {INTERNAL_ERROR_STATUS}'):
             # Without another replica to ask, a failure's own answer is the
             # best that the caller can get, so it is passed on too.
-            self._delivery.whole(answer)
+            self._delivery.send_buffered(answer)
             self.close(outcomes.Outcome.SERVED if answer.success else outcomes.
                        Outcome.REPLICA_FAILED)
 
     def _refused(self, attempt, answer):
-        self.attempts.refused()
+        self.attempts.record_refusal()
         if answer.misdirected:
-            self.node.fleet.replaced(attempt.replica.record.id)
+            self.node.fleet.drop_replaced(attempt.replica.record.id)
         self.log.info('not_run',
                       replica=attempt.replica.record.id,
                       status=answer.status,
@@ -275,27 +277,28 @@
         self.again_or(
             errors.ReplicaRefusedError(
                 f'the replica refused it ({answer.status})',
-                retry_after=comeback.soon_s()), 'not run')
+                retry_after=retry_delay.short_delay_s()), 'not run')
 
-    def attempt_failed(self, attempt, failure):
+    def on_attempt_failed(self, attempt, failure):
         """Called when an attempt ended without a whole answer."""
         self._close_attempt(attempt)
         now = time.monotonic()
-        attempt.replica.target.failed(now)
+        attempt.replica.view.record_failure(now)
         self.log.info('attempt_failed',
                       replica=attempt.replica.record.id,
                       reason=failure.reason,
                       sent=failure.sent,
-                      after_ms=round((now - attempt.began) * 1000, 1))
+                      after_ms=round((now - attempt.sent_at) * 1000, 1))
         if not failure.sent:
-            self.attempts.not_reached()
+            self.attempts.record_unreached()
             self.restart()
         elif failure.connection_lost:
-            run = crashes.Run(self.digest,
-                              attempt.began,
-                              attempt.first_at,
-                              again=len(self.attempts.names) > 1)
-            self.node.crashes.broke(
+            run = crashes.BrokenRun(self.digest,
+                                    attempt.sent_at,
+                                    attempt.first_at,
+                                    after_broken_run=len(self.attempts.replicas)
+                                    > 1)
+            self.node.crashes.handle_broken_run(
                 attempt.replica, run,
                 lambda: self._after_failure(attempt, failure.reason))
         else:
@@ -304,15 +307,15 @@
     def _after_failure(self, attempt, reason):
         if self.done:
             return
-        if self.node.crashes.suspects.held(self.digest):
-            self.fail(self.attempts.unknown(reason))
+        if self.node.crashes.suspects.must_serialize(self.digest):
+            self.fail(self.attempts.outcome_unknown_error(reason))
         elif self._restorable():
             self._look_after(attempt, reason)
         else:
             self._again_or_unknown(reason)
 
     def _again_or_unknown(self, reason):
-        self.again_or(self.attempts.unknown(reason), reason)
+        self.again_or(self.attempts.outcome_unknown_error(reason), reason)
 
     def discard(self):
         """See ``serving.Serving``."""
@@ -322,7 +325,7 @@
 
     def _restorable(self):
         """Whether the run has a copy and the caller part of its answer."""
-        return self._copy.held and self._delivery.last_id is not None
+        return self._copy.available and self._delivery.last_event_id is not None
 
     def _look_after(self, attempt, broken=None):
         """Looks whether the replica of a broken or silent stream is there."""
@@ -333,20 +336,20 @@
             elif broken:
                 self._again_or_unknown(broken)
             else:
-                self._set_attempt_timer(patience.COPY_GAP_S)
+                self._set_attempt_timer(attempt_timeouts.BACKUP_GAP_S)
 
-        self._copy.look(attempt.replica, looked)
+        self._copy.probe(attempt.replica, looked)
 
     def _restore(self, attempt):
         """Goes on at the replica that has the copy of the run's memory."""
         if self._attempt is not None:
-            attempt.channel.cancel()
+            attempt.conn.cancel()
             self._close_attempt(attempt)
-            attempt.replica.target.failed(time.monotonic())
-        replica = self._copy.take()
-        if (replica is None or not self._budget().take(time.monotonic())):
+            attempt.replica.view.record_failure(time.monotonic())
+        replica = self._copy.claim()
+        if (replica is None or not self._budget().acquire(time.monotonic())):
             self.fail(
-                self.attempts.unknown(
+                self.attempts.outcome_unknown_error(
                     'its replica is gone, and no copy is left'))
             return
         self.log.info('restored',
@@ -355,17 +358,16 @@
                       after=self._last_event())
         try:
             self._grant.renew()
-            if not self.node.crashes.begin(self.digest, self):
-                raise self.attempts.unknown('another run of it is under way')
-            self._send(replica,
-                       placement.Choice(replica.target),
-                       from_copy=True)
+            if not self.node.crashes.try_begin_run(self.digest, self):
+                raise self.attempts.outcome_unknown_error(
+                    'another run of it is under way')
+            self._send(replica, placement.Choice(replica.view), from_copy=True)
         except errors.GorsefallError as exc:
-            self.fail(self.attempts.honest(exc, str(exc), self.terms))
+            self.fail(self.attempts.reportable_error(exc, str(exc), self.terms))
 
     # -- endings ---------------------------------------------------------------
 
-    def caller_left(self):
+    def on_caller_disconnected(self):
         """The caller's channel ended: stops the replica's work."""
         self._drop_attempt()
         self.close(outcomes.Outcome.CALLER_LEFT)
@@ -377,24 +379,25 @@
         else:
             self.fail(
                 errors.DeadlineError('could not be sent in time',
-                                     retry_after=comeback.soon_s()))
+                                     retry_after=retry_delay.short_delay_s()))
 
-    def cut(self):
+    def abort(self):
         """Ends the exchange because the process ends."""
         self._drop_attempt()
         why = 'the entry is shutting down'
         self.fail(
-            self.attempts.honest(errors.DrainingError(why), why, self.terms))
+            self.attempts.reportable_error(errors.DrainingError(why), why,
+                                           self.terms))
 
     def _drop_attempt(self):
         attempt = self._attempt
         if attempt is not None:
-            if not attempt.channel.cancel():
-                self.attempts.withdrawn()
+            if not attempt.conn.cancel():
+                self.attempts.record_withdrawal()
             self._close_attempt(attempt)
 
     def _close_attempt(self, attempt):
-        attempt.place.close()
+        attempt.occupancy.close()
         self._longest_pause_s = max(self._longest_pause_s,
                                     attempt.longest_pause_s)
         self._attempt = None
@@ -404,26 +407,26 @@
     def tell(self, exc):
         """See ``serving.Serving``."""
         if self._delivery.started:
-            self._delivery.break_off()
+            self._delivery.abort()
             return outcomes.Outcome.BROKEN
-        self._delivery.refuse(*outcomes.error_answer(exc))
+        self._delivery.send_error(*outcomes.error_response(exc))
         return outcomes.outcome_of(exc)
 
     def note_end(self, outcome, exc):
         """See ``serving.Serving``."""
         if self._deadline_timer is not None:
             self._deadline_timer.cancel()
-        self._copy.cancel()
-        self.node.crashes.ended(self.digest, self)
-        ending.note(self,
-                    self._grant,
-                    outcome,
-                    exc,
-                    pause_s=self._longest_pause_s,
-                    last_event=self._last_event())
-        self.node.exchange_done(self)
+        self._copy.cancel_probe()
+        self.node.crashes.end_run(self.digest, self)
+        accesslog.record(self,
+                         self._grant,
+                         outcome,
+                         exc,
+                         pause_s=self._longest_pause_s,
+                         last_event=self._last_event())
+        self.node.remove_exchange(self)
 
     def _last_event(self):
         """Returns the id of the last event passed on, or None."""
-        last_id = self._delivery.last_id
+        last_id = self._delivery.last_event_id
         return None if last_id is None else last_id.decode('latin-1')
--- a/gorsefall/relay/grant.py
+++ b/gorsefall/relay/grant.py
@@ -5,10 +5,10 @@
 from gorsefall import directory
 from gorsefall import errors
 from gorsefall import metrics
-from gorsefall.policy import comeback
 from gorsefall.policy import knowledge
 from gorsefall.policy import overload
 from gorsefall.policy import placement
+from gorsefall.policy import retry_delay
 from gorsefall.relay import model
 from gorsefall.relay import routes
 
@@ -21,7 +21,8 @@
         account: The ``model.Account``; None on public routes.
         service: Name of the service it goes to.
         once: Whether any route it had forbids a second run.
-        want: The ``knowledge.Want`` that its last place was chosen for.
+        want: The ``knowledge.RequestProfile`` that its last place was
+            chosen for.
     """
 
     def __init__(self, node, req):
@@ -30,8 +31,8 @@
         self.route = None
         self.account = None
         self.service = None
-        self.once = False
-        self.want = knowledge.Want(zone=node.cfg.zone)
+        self.non_repeatable = False
+        self.profile = knowledge.RequestProfile(zone=node.cfg.zone)
 
     def renew(self):
         """Finds route and account in the configuration in force now.
@@ -46,9 +47,9 @@
         if self.route != route:
             self.route = route
             self.service = routes.pick_service(route)
-            self.once = self.once or not route.repeatable
+            self.non_repeatable = self.non_repeatable or not route.repeatable
         account = table.account(self._req, route)
-        if account is not None and not self._node.proof.valid():
+        if account is not None and not self._node.confirmation.is_current():
             self._unproven(table)
         self.account = account
 
@@ -61,58 +62,59 @@
         if self._node.cfg.strict_revocation:
             raise errors.UnprovenError(
                 f'configuration {table.version} was last confirmed '
-                f'{self._node.proof.age_s():.2f} s ago',
-                retry_after=comeback.soon_s())
+                f'{self._node.confirmation.age_s():.2f} s ago',
+                retry_after=retry_delay.short_delay_s())
         metrics.UNPROVEN.inc()
 
     @property
     def streams(self):
         """Whether its answer is a stream of events."""
-        return self.route.kind is model.Kind.STREAM
+        return self.route.kind is model.RouteKind.STREAM
 
     @property
     def rank(self):
         """How urgent it is among all that ask, 0 the most."""
-        return self._node.table.rank(self.account, self.route)
+        return self._node.table.admission_rank(self.account, self.route)
 
     @property
     def urgency(self):
         """How urgent it is at its replica, 0 the most."""
-        return self._node.table.urgency(self.account, self.route)
+        return self._node.table.replica_rank(self.account, self.route)
 
     def _see(self):
-        """Returns its ``knowledge.Want`` on the terms granted now."""
+        """Returns its ``knowledge.RequestProfile`` on the terms granted now."""
         zone = self._node.cfg.zone
         prompt = self._req.prompt
         if prompt is None:
-            return knowledge.Want(zone=zone)
+            return knowledge.RequestProfile(zone=zone)
         ranks = self._node.work.ranks(self.service)
-        return knowledge.Want(zone=zone,
-                              parts=prompt.shared,
-                              tokens=prompt.tokens_in,
-                              tokens_out=prompt.tokens_out,
-                              limit_ms=ranks.limit_ms(self.rank,
-                                                      self._target_ms),
-                              gap_ms=self.route.gap_s * 1000)
+        return knowledge.RequestProfile(zone=zone,
+                                        parts=prompt.shared,
+                                        tokens=prompt.tokens_in,
+                                        tokens_out=prompt.tokens_out,
+                                        queue_limit_ms=ranks.queue_limit_ms(
+                                            self.rank, self._target_ms),
+                                        gap_ms=self.route.gap_target_s * 1000)
 
     @property
-    def copied(self):
+    def needs_backup(self):
         """Whether another replica had better copy its run as it grows."""
         service = self._node.table.services.get(self.service)
-        return (service is not None and service.backups and self.streams and
-                self.want.writes)
+        return (service is not None and service.kv_backups and self.streams and
+                self.profile.decode_heavy)
 
     @property
     def _target_ms(self):
         return self.route.target_s * 1000
 
-    def asked(self):
+    def record_arrival(self):
         """Notes the request among those for its service."""
-        self._node.work.ranks(self.service).asked(self.rank, self._target_ms)
+        self._node.work.ranks(self.service).record_request(
+            self.rank, self._target_ms)
 
-    def order(self, record, *, time_left_s, backup, from_copy, resume_after,
-              source):
-        """Returns the ``model.Order`` for a send.
+    def attempt_options(self, record, *, time_left_s, backup, from_copy,
+                        resume_after, source):
+        """Returns the ``model.AttemptOptions`` for a send.
 
         Args:
             record: The ``model.ReplicaRecord`` of the replica.
@@ -120,19 +122,20 @@
             backup: Address of the replica that copies the run, or None.
             from_copy: Whether it goes on from a copy that it keeps.
             resume_after: Id of the last event delivered, or None.
-            source: The ``knowledge.Target`` to fetch cached parts from, or
+            source: The ``knowledge.ReplicaView`` to fetch cached parts from, or
                 None.
         """
-        return model.Order(replica=record.id,
-                           time_left_s=time_left_s,
-                           account=self.account.name if self.account else None,
-                           priority=self.urgency,
-                           backup=backup,
-                           copy_at=record.addr if from_copy else None,
-                           resume_after=resume_after,
-                           fetch_from=self._node.work.addr_of(source))
-
-    def place(self, tried, *, refuse, emptiest=False):
+        return model.AttemptOptions(
+            replica=record.id,
+            time_left_s=time_left_s,
+            account=self.account.name if self.account else None,
+            priority=self.urgency,
+            backup_to=backup,
+            restore_from=record.addr if from_copy else None,
+            resume_after=resume_after,
+            fetch_from=self._node.work.replica_addr(source))
+
+    def choose_replica(self, tried, *, refuse, emptiest=False):
         """Chooses where it goes.
 
         Args:
@@ -148,16 +151,16 @@
             errors.ShedError: It would only come late.
         """
         work = self._node.work
-        self.want = self._see()
-        urgent = work.ranks(self.service).leads(self.rank)
-        targets = work.targets(self.service, tried, urgent=urgent)
+        self.profile = self._see()
+        urgent = work.ranks(self.service).is_most_urgent(self.rank)
+        targets = work.candidate_views(self.service, tried, urgent=urgent)
         if emptiest:
-            targets = placement.emptiest(targets)
+            targets = placement.with_fewest_requests(targets)
         choice = placement.choose(targets,
-                                  self.want,
-                                  work.service(self.service),
+                                  self.profile,
+                                  work.service_state(self.service),
                                   time.monotonic(),
-                                  sources=work.sources(self.service))
+                                  sources=work.draining_views(self.service))
         if choice is None:
             return None
         metrics.QUEUE_MS.labels(self.service).set(choice.queue_ms)
@@ -166,8 +169,8 @@
         return choice
 
     def _refuse_late(self, choice):
-        limit_ms = self.want.limit_ms
-        wait_s = overload.refuse_for_s(choice, limit_ms)
+        limit_ms = self.profile.queue_limit_ms
+        wait_s = overload.retry_after_s(choice, limit_ms)
         if wait_s is not None:
             raise errors.ShedError(
                 f'{choice.queue_ms:.0f} ms of work wait at '
--- a/gorsefall/relay/node.py
+++ b/gorsefall/relay/node.py
@@ -10,26 +10,26 @@
 from gorsefall import settingsfile
 from gorsefall.net import reactor
 from gorsefall.net import tcp
+from gorsefall.policy import attempt_timeouts
 from gorsefall.policy import budget
 from gorsefall.policy import freshness
-from gorsefall.policy import patience
-from gorsefall.policy import share
-from gorsefall.relay import announcing
+from gorsefall.policy import traffic_share
 from gorsefall.relay import crashes
-from gorsefall.relay import ends
+from gorsefall.relay import crashstore
 from gorsefall.relay import exchange
 from gorsefall.relay import fleet
-from gorsefall.relay import following
+from gorsefall.relay import followers
 from gorsefall.relay import messages
 from gorsefall.relay import outcomes
 from gorsefall.relay import pacing
 from gorsefall.relay import peers
-from gorsefall.relay import remembered
+from gorsefall.relay import prober
+from gorsefall.relay import replicalimits
 from gorsefall.relay import servers
 from gorsefall.relay import settings
 from gorsefall.relay import workload
 
-PROOF_READY_SHARE = 0.9
+READY_CONFIRMATION_SHARE = 0.9
 """Part of the proof's bound after which the entry reports itself not ready,
 so that the balancer prefers entries that reach the store."""
 
@@ -37,10 +37,10 @@
 """Time after the stop signal in which new requests are still served, s: the
 balancer asks once a second and goes by two misses."""
 
-LAST_ANSWERS_S = 0.7
+KILL_MARGIN_S = 0.7
 """Time before the platform's kill at which what still runs is ended, s."""
 
-STOP_POLL_S = 0.05
+DRAIN_POLL_S = 0.05
 SETTINGS_POLL_S = 2.0
 """How often the settings file is looked at, s: it may change without a
 signal."""
@@ -51,16 +51,16 @@
 
     Attributes:
         cfg: The ``settings.Relay``.
-        dialect: The ``dialect.Dialect`` of the wire.
+        codec: The ``codec.Codec`` of the wire.
         loop: The ``reactor.Reactor``.
         table: The ``routes.Table`` in force; None before the first.
-        proof: The ``freshness.Proof`` of the table.
+        proof: The ``freshness.Confirmation`` of the table.
         fleet: The ``fleet.Fleet``.
-        ends: The ``ends.Ends`` of its replicas.
-        crashes: The ``crashes.Crashes`` of requests there.
+        prober: The ``prober.ReplicaProber`` of its replicas.
+        crashes: The ``crashes.CrashTracker`` of requests there.
         work: The ``workload.Workload`` at its replicas.
-        announcing: The ``announcing.Announcing`` of its replicas' limits.
-        share: The ``share.Share`` of the traffic that comes here.
+        limit_tracker: The ``replicalimits.LimitTracker`` of its replicas.
+        share: The ``traffic_share.TrafficShare`` of this entry.
         replicas_known: Whether the replicas were listed once.
     """
     channel = 'node'
@@ -70,7 +70,7 @@
 
         Args:
             path: Settings file.
-            adapter: Gives ``dialect``, ``records`` and
+            adapter: Gives ``codec``, ``records`` and
                 ``source(loop, addr, topic)`` of the wire, and the names of its
             topics: ``configuration_topic``, ``replicas_topic`` and
             ``crashes_topic``.
@@ -78,25 +78,26 @@
         self.cfg = settings.load(path)
         super().__init__(logs.get('node').bind(entry=self.cfg.name))
         self._path = path
-        self.dialect = adapter.dialect
+        self.codec = adapter.codec
         self.loop = reactor.Reactor().register(self)
         self.table = None
-        self.proof = freshness.Proof(self.cfg.revoke_s - pacing.PROOF_MARGIN_S)
+        self.confirmation = freshness.Confirmation(self.cfg.revoke_s -
+                                                   pacing.CONFIRMATION_MARGIN_S)
         self.fleet = fleet.Fleet(self.loop, self._work_changed)
-        self.ends = ends.Ends(self.loop)
-        self.crashes = crashes.Crashes(self.loop, self.ends, self.fleet)
+        self.prober = prober.ReplicaProber(self.loop)
+        self.crashes = crashes.CrashTracker(self.loop, self.prober, self.fleet)
         self.work = workload.Workload(self.cfg.name, self.fleet,
                                       self.cfg.retries.window_s)
-        self.announcing = announcing.Announcing(self.loop, self.fleet,
-                                                self.work.view.members)
+        self.limit_tracker = replicalimits.LimitTracker(
+            self.loop, self.fleet, self.work.peer_view.members)
         self._peers = None
         self.replicas_known = False
         self._proven = False
-        self.share = share.Share()
+        self.share = traffic_share.TrafficShare()
         self._budgets = {}
         self._patience = {}
-        self._reads = following.Following(self, adapter)
-        self._remembered = remembered.Remembered(
+        self._reads = followers.Followers(self, adapter)
+        self._remembered = crashstore.CrashStore(
             self.loop,
             adapter.source(self.loop, settingsfile.split_addr(self.cfg.store),
                            adapter.crashes_topic), self.crashes)
@@ -105,16 +106,16 @@
 
     def start(self):
         """Opens the listeners and starts following the store."""
-        self._callers = servers.Callers(self)
+        self._callers = servers.CallerServer(self)
         host, _ = settingsfile.split_addr(self.cfg.callers)
         self._listener = tcp.Listener(self.loop,
                                       settingsfile.split_addr(self.cfg.callers),
                                       self._callers.accept)
         tcp.Listener(self.loop, settingsfile.split_addr(self.cfg.readiness),
-                     servers.Readiness(self).accept)
+                     servers.ReadinessServer(self).accept)
         if self.cfg.metrics_port:
             tcp.Listener(self.loop, (host, self.cfg.metrics_port),
-                         servers.Metrics(self).accept)
+                         servers.MetricsServer(self).accept)
         if self.cfg.peers:
             self._peers = peers.Peers(self,
                                       settingsfile.split_addr(self.cfg.peers),
@@ -123,9 +124,9 @@
             self._peers.start()
         self._reads.start(self._peers)
         self.crashes.start(self._peers)
-        self.announcing.start()
+        self.limit_tracker.start()
         self._remembered.start(
-            lambda: self._reads.reads,
+            lambda: self._reads.is_reader,
             self._peers.heartbeat_s if self._peers else lambda: 0.0)
         self.loop.call_later(SETTINGS_POLL_S, self._look_at_settings)
         self.log.info('started',
@@ -135,16 +136,17 @@
 
     def _share_beliefs(self):
         self._peers.on_status = self._told
-        self._peers.read(
-            messages.Suspects,
-            lambda message, host: self.crashes.take(message.sightings))
-        self._peers.read(messages.AskSuspects,
-                         lambda message, host: self.crashes.asked(host))
+        self._peers.register_handler(
+            messages.Suspects, lambda message, host: self.crashes.merge_reports(
+                message.run_reports))
+        self._peers.register_handler(
+            messages.AskSuspects,
+            lambda message, host: self.crashes.send_suspects(host))
 
     def _told(self, status, host):
-        self.crashes.heard(status, host)
-        self.announcing.heard(status)
-        self.fleet.heard(status, self.loop.now)
+        self.crashes.handle_status(status, host)
+        self.limit_tracker.handle_status(status)
+        self.fleet.handle_status(status, self.loop.now)
 
     # -- what is believed ------------------------------------------------------
 
@@ -154,84 +156,90 @@
         if old is not None and table.version <= old:
             return
         self.table = table
-        self.fleet.services_changed(table.services)
+        self.fleet.set_services(table.services)
         self.log.info('configuration',
                       version=table.version,
                       before=old,
                       routes=len(table.routes),
                       keys=len(table.accounts))
 
-    def confirmed(self, sent_at):
+    def record_confirmation(self, sent_at):
         """Notes that the configuration was confirmed."""
-        self.proof.confirmed(sent_at)
+        self.confirmation.record_read(sent_at)
         if not self._proven:
             self._proven = True
-            self.log.info('proof_regained', age_s=self.proof.logged_age_s())
+            self.log.info('proof_regained',
+                          age_s=self.confirmation.logged_age_s())
 
-    def ready(self):
+    def is_ready(self):
         """Returns whether new work may come here."""
         if self.draining or self.table is None or not self.replicas_known:
             return False
-        fresh = self.proof.age_s() <= self.proof.bound_s * PROOF_READY_SHARE
+        fresh = self.confirmation.age_s(
+        ) <= self.confirmation.bound_s * READY_CONFIRMATION_SHARE
         if not fresh and self._proven:
             self._proven = False
             self.log.warning('proof_lost',
-                             age_s=self.proof.logged_age_s(),
-                             told_by=self._reads.told_by)
-        return (fresh or not self.table.keyed or not self.cfg.strict_revocation)
+                             age_s=self.confirmation.logged_age_s(),
+                             told_by=self._reads.source_host)
+        return (fresh or not self.table.requires_key or
+                not self.cfg.strict_revocation)
 
-    def budget(self, service):
+    def retry_budget(self, service):
         """Returns the ``budget.Budget`` of a service."""
         found = self._budgets.get(service)
         if found is None:
             found = self._budgets[service] = budget.Budget(
                 self.cfg.retries, self.share,
-                lambda: self.work.others_firsts(service))
+                lambda: self.work.others_first_attempts(service))
         return found
 
     def _work_changed(self):
         if self._peers is not None:
-            self._peers.changed()
+            self._peers.schedule_status()
 
     def status(self, boot, seq, hosts):
         """Returns the ``membership.Status`` to tell the other entries."""
         firsts = {
-            service: known.firsts(self.loop.now)
+            service: known.first_attempts(self.loop.now)
             for service, known in self._budgets.items()
         }
-        return self.work.status(boot,
-                                seq,
-                                hosts,
-                                firsts=firsts,
-                                zone=self.cfg.zone,
-                                reads=self._reads.able and not self.draining,
-                                sightings=self.crashes.told(self.loop.now),
-                                suspects=self.crashes.suspects.summary,
-                                limits=self.announcing.told(self.loop.now),
-                                ended=self.fleet.ended_of_late(self.loop.now))
-
-    def load_told(self, replica, load):
+        return self.work.status(
+            boot,
+            seq,
+            hosts,
+            first_attempts=firsts,
+            zone=self.cfg.zone,
+            can_read_store=self._reads.can_read_for_others and
+            not self.draining,
+            run_reports=self.crashes.recent_reports(self.loop.now),
+            suspects_summary=self.crashes.suspects.summary,
+            limit_reports=self.limit_tracker.recent_reports(self.loop.now),
+            replica_exits=self.fleet.recent_exits(self.loop.now))
+
+    def record_load(self, replica, load):
         """Notes the ``model.Load`` that a replica told with an answer."""
-        replicas = self.fleet.of(replica.record.service)
-        self.share.seen(own=sum(r.target.outstanding for r in replicas),
-                        there=load.running + load.waiting,
-                        replicas=len(replicas))
-        if self.work.view.members.alone:
-            replica.target.report(load.running, load.waiting, self.loop.now)
-
-    def patience(self, service, kind):
-        """Returns the ``patience.Patience`` of a service and kind."""
-        return self._patience.setdefault((service, kind), patience.Patience())
+        replicas = self.fleet.of_service(replica.record.service)
+        self.share.record_sample(own=sum(r.view.outstanding for r in replicas),
+                                 there=load.running + load.waiting,
+                                 replicas=len(replicas))
+        if self.work.peer_view.members.alone:
+            replica.view.record_load(load.running, load.waiting, self.loop.now)
+
+    def start_latency(self, service, kind):
+        """Returns a service's and kind's ``attempt_timeouts.StartLatency``."""
+        return self._patience.setdefault((service, kind),
+                                         attempt_timeouts.StartLatency())
 
     # -- requests --------------------------------------------------------------
 
-    def begin(self, method, target, fields, body, reply):
+    def start_exchange(self, method, target, fields, body, reply):
         """Starts the exchange of a caller's request; returns it."""
         try:
-            req = self.dialect.decode_request(method, target, fields)
+            req = self.codec.decode_request(method, target, fields)
         except errors.BadRequestError as exc:
             self.log.info('bad_request', error=str(exc))
-            reply.whole(*outcomes.error_answer(exc))
+            reply.send(*outcomes.error_response(exc))
             return None
         req.body, req.body_digest = bytes(body.data), body.digest
         running = exchange.Exchange(self, req, reply)
@@ -239,14 +247,14 @@
         running.start()
         return running
 
-    def exchange_done(self, ended):
+    def remove_exchange(self, ended):
         """Called by an exchange at its end."""
         self._exchanges.discard(ended)
 
-    def measure(self):
+    def update_gauges(self):
         """Sets the gauges of what is believed and under way now."""
         metrics.RELAY_RUNNING.set(self.under_way)
-        metrics.PROOF_AGE.set(self.proof.age_s())
+        metrics.PROOF_AGE.set(self.confirmation.age_s())
         if self.table is not None:
             metrics.CATALOGUE_VERSION.set(self.table.version)
             for service in self.table.services:
@@ -254,7 +262,7 @@
                     len(self.fleet.candidates(service, ())))
         now = self.loop.now
         for service, known in self._budgets.items():
-            metrics.RETRIES_LEFT.labels(service).set(known.room(now))
+            metrics.RETRIES_LEFT.labels(service).set(known.available(now))
 
     # -- settings --------------------------------------------------------------
 
@@ -281,14 +289,15 @@
             # next change is read again.
             self.log.error('reload_failed', error=str(exc))
             return
-        self.proof.bound_s = self.cfg.revoke_s - pacing.PROOF_MARGIN_S
+        self.confirmation.bound_s = (self.cfg.revoke_s -
+                                     pacing.CONFIRMATION_MARGIN_S)
         for known in self._budgets.values():
             # Their counts stay: retries that were forgotten would be allowed
             # once more by every change of the settings.
             known.allowance = self.cfg.retries
-        self._reads.settings_changed(before)
+        self._reads.apply_settings(before)
         if self._peers is not None:
-            self._peers.seeds_changed(self.cfg.seed_hosts)
+            self._peers.set_seeds(self.cfg.seed_hosts)
         self.log.info('reloaded', store=self.cfg.store)
 
     # -- shutdown --------------------------------------------------------------
@@ -306,7 +315,7 @@
     @property
     def drain_s(self):
         """See ``daemon.Daemon``."""
-        return self.cfg.grace_s - LAST_ANSWERS_S
+        return self.cfg.grace_s - KILL_MARGIN_S
 
     def stopping(self):
         """See ``daemon.Daemon``."""
@@ -324,13 +333,14 @@
         # next request crosses the close was not read and tries elsewhere.
         self._callers.close_idle()
         now = self.loop.now
-        if self.shutdown.late(now):
+        if self.shutdown.is_overdue(now):
             for running in list(self._exchanges):
-                running.cut()
-        if self.shutdown.over(now, self.under_way or self._callers.sending()):
+                running.abort()
+        if self.shutdown.is_finished(
+                now, self.under_way or self._callers.has_unsent()):
             self._finish()
             return
-        self.loop.call_later(STOP_POLL_S, self._check_drained)
+        self.loop.call_later(DRAIN_POLL_S, self._check_drained)
 
     def _finish(self):
         # From here to the exit nothing more may be read: a request that is
--- a/tests/test_topic.py
+++ b/tests/test_topic.py
@@ -9,7 +9,7 @@
 from gorsefall.policy import freshness
 from gorsefall.relay import topic
 
-PACE = topic.Pace(pause_s=0.1)
+PACE = topic.ReadPace(pause_s=0.1)
 
 _FAULTS = st.lists(st.sampled_from(['ok', 'late', 'lost', 'busy']), max_size=30)
 _STEPS = st.lists(st.tuples(
@@ -69,7 +69,7 @@
                        store,
                        belief,
                        name='t',
-                       pace=topic.Pace(wait_s=1.2)).start()
+                       pace=topic.ReadPace(wait_s=1.2)).start()
         loop.run(2.0)
         store.put('a', b'2')
         while belief.newest['a'] != b'2':
@@ -82,15 +82,15 @@
     """A revoked key let in after a late answer."""
     now = [100.0]
     monkeypatch.setattr(freshness, 'clock', lambda: now[0])
-    proof = freshness.Proof(4.6)
-    assert not proof.valid()
+    proof = freshness.Confirmation(4.6)
+    assert not proof.is_current()
     sent_at = now[0]
     now[0] += 4.0
-    proof.confirmed(sent_at)
-    assert proof.valid()
+    proof.record_read(sent_at)
+    assert proof.is_current()
     now[0] += 1.0
-    assert not proof.valid()
+    assert not proof.is_current()
     # An older read that is answered afterwards takes nothing back.
-    proof.confirmed(now[0])
-    proof.confirmed(sent_at)
-    assert proof.valid()
+    proof.record_read(now[0])
+    proof.record_read(sent_at)
+    assert proof.is_current()
