--- a/gorsefall/emulator/crashing.py
+++ b/gorsefall/emulator/crashing.py
@@ -1,8 +1,8 @@
 """Requests that crash replicas, and good ones beside them, before many entries.
 
-Each entry has its own ``relay.crashes.Crashes``; what they tell each other is
-late and at times lost. Both errors are counted: runs of a guilty request that
-are too many, and good requests that are refused.
+Each entry has its own ``relay.crashes.CrashTracker``; what they tell each
+other is late and at times lost. Both errors are counted: runs of a guilty
+request that are too many, and good requests that are refused.
 """
 
 import collections
@@ -15,9 +15,9 @@
 from gorsefall.emulator import clock
 from gorsefall.policy import membership
 from gorsefall.relay import crashes
-from gorsefall.relay import ends
 from gorsefall.relay import model
 from gorsefall.relay import peers
+from gorsefall.relay import prober
 
 WAY_S = 0.002
 """Time of a message, or of a look at a replica, s."""
@@ -39,14 +39,14 @@
 class Replica:
     """One start of a replica; has what ``crashes`` sees of one."""
     record: object
-    doubtful: bool = False
-    ended_at: float | None = None
+    record_lapsed: bool = False
+    exited_at: float | None = None
     up: bool = True
     runs: set = dataclasses.field(default_factory=set)
 
 
 class Entry:
-    """An entry; is the ``peers`` and the ``ends`` of its ``Crashes``."""
+    """An entry; is the ``peers`` and the ``prober`` of its ``CrashTracker``."""
 
     def __init__(self, site, number):
         self.site = site
@@ -55,30 +55,31 @@
 
     def start(self):
         """Starts a process, which knows nothing."""
-        self.crashes = crashes.Crashes(self.site.loop, self, self.site,
-                                       lambda: self.site.loop.now)
+        self.crashes = crashes.CrashTracker(self.site.loop, self, self.site,
+                                            lambda: self.site.loop.now)
         self.crashes.start(self)
 
-    def look(self, replica, done):
-        """See ``ends.Ends``."""
-        verdict = ends.Verdict.ALIVE if replica.up else ends.Verdict.ENDED
-        self.site.loop.later(WAY_S, lambda: done(verdict))
+    def probe(self, replica, done):
+        """See ``prober.ReplicaProber``."""
+        verdict = prober.Verdict.ALIVE if replica.up else prober.Verdict.EXITED
+        self.site.loop.call_later(WAY_S, lambda: done(verdict))
 
     def send_all(self, message):
         """See ``peers.Peers``."""
         for other in self.site.entries:
             if other is not self:
-                self._send(lambda entry: entry.crashes.take(message.sightings),
-                           other)
+                self._send(
+                    lambda entry: entry.crashes.merge_reports(
+                        message.run_reports), other)
 
     def send(self, message, host):
         """See ``peers.Peers``; a host is an entry's number."""
-        answer = getattr(message, 'sightings', None)
+        answer = getattr(message, 'run_reports', None)
         if answer is None:
-            self._send(lambda entry: entry.crashes.asked(self.number),
+            self._send(lambda entry: entry.crashes.send_suspects(self.number),
                        self.site.entries[host])
         else:
-            self._send(lambda entry: entry.crashes.take(answer),
+            self._send(lambda entry: entry.crashes.merge_reports(answer),
                        self.site.entries[host])
 
     def speak(self):
@@ -87,19 +88,19 @@
             f'e{self.number}',
             1,
             1,
-            run_reports=self.crashes.told(self.site.loop.now),
+            run_reports=self.crashes.recent_reports(self.site.loop.now),
             suspects_summary=self.crashes.suspects.summary)
         for other in self.site.entries:
             if other is not self:
                 self._send(
-                    lambda entry: entry.crashes.heard(status, self.number),
-                    other)
-        spread = self.site.rng.uniform(*peers.SPREAD)
-        self.site.loop.later(self.site.heartbeat_s * spread, self.speak)
+                    lambda entry: entry.crashes.handle_status(
+                        status, self.number), other)
+        spread = self.site.rng.uniform(*peers.PAUSE_JITTER)
+        self.site.loop.call_later(self.site.heartbeat_s * spread, self.speak)
 
     def _send(self, arrive, other):
         if self.site.rng.random() >= self.site.lost:
-            self.site.loop.later(WAY_S, lambda: arrive(other))
+            self.site.loop.call_later(WAY_S, lambda: arrive(other))
 
 
 class Exchange:
@@ -120,7 +121,7 @@
         """Sends it to a replica, unless it is blocked."""
         known = self._entry.crashes
         try:
-            if not known.begin(self._digest, self):
+            if not known.try_begin_run(self._digest, self):
                 return
         except errors.CrashesReplicasError:
             self._end('refused')
@@ -132,7 +133,7 @@
         if self._guilty:
             self._site.guilty_runs.append(self._sent_at)
         wait_s = CRASH_S if self._guilty else self._run_s
-        self._site.loop.later(wait_s, lambda: self._over(replica))
+        self._site.loop.call_later(wait_s, lambda: self._over(replica))
 
     def _over(self, replica):
         if self not in replica.runs:
@@ -141,17 +142,17 @@
             self._site.crash(replica)
             return
         replica.runs.discard(self)
-        self._entry.crashes.ran(self._digest)
+        self._entry.crashes.record_completed_run(self._digest)
         self._end('served')
 
     def broke(self, replica):
         """Called when its replica ended."""
         known = self._entry.crashes
-        run = crashes.Run(self._digest,
-                          self._sent_at,
-                          None,
-                          again=self._left < TRIES - 1)
-        known.broke(replica, run, self._after)
+        run = crashes.BrokenRun(self._digest,
+                                self._sent_at,
+                                None,
+                                after_broken_run=self._left < TRIES - 1)
+        known.handle_broken_run(replica, run, self._after)
 
     def _after(self):
         held = self._entry.crashes.suspects.must_serialize(self._digest)
@@ -161,9 +162,9 @@
             self._end('failed')
 
     def _end(self, outcome):
-        self._entry.crashes.ended(self._digest, self)
+        self._entry.crashes.end_run(self._digest, self)
         if outcome == 'failed' and self._back:
-            self._site.loop.later(RETURN_S, self._return)
+            self._site.loop.call_later(RETURN_S, self._return)
         elif not self._guilty:
             self._site.good[outcome] += 1
 
@@ -188,8 +189,8 @@
         self.loop = clock.Loop()
         self.rng = random.Random(seed)
         self.lost = lost
-        self.heartbeat_s = max(peers.HEARTBEAT_S,
-                               entries / peers.MESSAGES_PER_S)
+        self.heartbeat_s = max(peers.MAX_PAUSE_S,
+                               entries / peers.MAX_MESSAGES_PER_S)
         self.replicas = {}
         self.guilty_runs = []
         self.good = collections.Counter()
@@ -198,18 +199,19 @@
             self._add()
         self.entries = [Entry(self, i) for i in range(entries)]
         for entry in self.entries:
-            self.loop.later(self.rng.uniform(0, self.heartbeat_s), entry.speak)
+            self.loop.call_later(self.rng.uniform(0, self.heartbeat_s),
+                                 entry.speak)
 
     def _add(self):
         name = f'r{next(self._starts)}'
         record = types.SimpleNamespace(id=name,
-                                       born=0,
+                                       started_at_ms=0,
                                        status=model.ReplicaStatus.READY)
         self.replicas[name] = Replica(record)
 
-    def ended(self, replica, at):
+    def record_exit(self, replica, at):
         """See ``fleet.Fleet``."""
-        replica.ended_at = replica.ended_at or at
+        replica.exited_at = replica.exited_at or at
 
     def sound(self):
         """Returns the replicas that are up."""
@@ -219,7 +221,7 @@
         """Ends a replica, with all that runs there."""
         replica.up = False
         runs, replica.runs = replica.runs, set()
-        self.loop.later(BACK_S, lambda: self._back(replica))
+        self.loop.call_later(BACK_S, lambda: self._back(replica))
         for run in sorted(runs, key=id):
             run.broke(replica)
 
--- a/gorsefall/relay/inbound.py
+++ b/gorsefall/relay/inbound.py
@@ -18,7 +18,7 @@
                          b'te', b'trailer', b'transfer-encoding', b'upgrade'))
 
 
-def end_to_end(fields):
+def end_to_end_fields(fields):
     """Returns the ``(name, value)`` fields that concern more than one hop.
 
     Args:
@@ -31,7 +31,7 @@
     return [(n, v) for n, v in fields.items if n.lower() not in drop]
 
 
-class Reply:
+class ResponseWriter:
     """What an exchange uses to answer its caller; at most one answer.
 
     Attributes:
@@ -44,7 +44,7 @@
         self.started = False
         self.done = False
 
-    def whole(self, status, fields, body):
+    def send(self, status, fields, body):
         """Sends a whole answer; ``fields`` are byte pairs."""
         if not self.done:
             self.started = self.done = True
@@ -52,15 +52,15 @@
             self._conn.send_body(body)
             self._conn.end()
 
-    def head(self, status, fields):
+    def start(self, status, fields):
         """Starts an answer whose length is not known."""
         self.started = True
         self._conn.send_head(status, fields, None)
 
-    def data(self, data):
+    def write(self, data):
         """Sends a piece; returns whether the caller keeps up."""
         self._conn.send_body(data)
-        return self._conn.keeps_up()
+        return self._conn.can_write()
 
     def end(self):
         """Ends an answer that was started with ``head``."""
@@ -68,20 +68,22 @@
             self.done = True
             self._conn.end()
 
-    def break_off(self):
+    def abort(self):
         """Ends the channel so that the answer cannot look complete."""
         if not self.done:
             self.done = True
-            self._conn.break_off()
+            self._conn.abort()
 
 
-class Channel:
+class CallerConnection:
     """One caller's channel.
 
-    The server object it belongs to gives ``limits``, ``draining`` and
-    ``begin(method, target, fields, body, reply)``, which gets a
-    ``digests.Body`` and returns an exchange with ``caller_left()`` and
-    ``caller_drained()``, or None when it has answered.
+    The server object it belongs to provides ``limits``, ``draining``,
+    ``on_conn_closed(conn)``, ``error_response(exc)`` and
+    ``handle_request(method, target, fields, body, reply)``. The last one gets
+    a ``digests.Body`` and returns an exchange with
+    ``on_caller_disconnected()`` and ``on_caller_drained()``, or None when it
+    has already responded.
     """
 
     def __init__(self, loop, server, sock):
@@ -106,9 +108,9 @@
                 not self._h11.trailing_data[0])
 
     @property
-    def sending(self):
+    def has_unsent(self):
         """Whether answer bytes wait for the caller to take them."""
-        return bool(self._conn.unsent)
+        return bool(self._conn.unsent_bytes)
 
     def on_connected(self):
         """See ``tcp.Connection``; callers connect to us."""
@@ -138,12 +140,13 @@
         if self._closing and not self._answering:
             self.close()
         elif self._exchange is not None:
-            self._exchange.caller_drained()
+            self._exchange.on_caller_drained()
 
     # -- reading ---------------------------------------------------------------
 
     def _advance(self):
-        while (not self._answering and not self._closing and self._conn.open):
+        while (not self._answering and not self._closing and
+               self._conn.is_open):
             event = self._h11.next_event()
             if event is h11.NEED_DATA:
                 if self._h11.they_are_waiting_for_100_continue:
@@ -193,9 +196,9 @@
         self._body = digests.Body()
         self._answering = True
         self._cancel_timer()
-        fields = headers.read(head.headers.raw_items())
-        exchange = self._server.begin(head.method, head.target, fields, body,
-                                      Reply(self))
+        fields = headers.from_items(head.headers.raw_items())
+        exchange = self._server.handle_request(head.method, head.target, fields,
+                                               body, ResponseWriter(self))
         if self._answering:
             self._exchange = exchange
 
@@ -213,7 +216,7 @@
         """Answers a request that was not read whole, and closes."""
         self._answering = self._closing = True
         self._head = None
-        Reply(self).whole(*self._server.error_answer(exc))
+        ResponseWriter(self).send(*self._server.error_response(exc))
 
     # -- writing ---------------------------------------------------------------
 
@@ -233,16 +236,16 @@
         """Sends a piece of the answer's body."""
         self._conn.write(self._h11.send(h11.Data(data=data)))
 
-    def keeps_up(self):
+    def can_write(self):
         """Returns whether the caller reads as fast as it is sent to."""
-        return self._conn.unsent < MAX_PENDING_BYTES
+        return self._conn.unsent_bytes < MAX_PENDING_BYTES
 
     def end(self):
         """Ends the answer; reads the next request or closes."""
         self._conn.write(self._h11.send(h11.EndOfMessage()))
         self._answering = False
         self._exchange = None
-        if not self._conn.open:
+        if not self._conn.is_open:
             return
         # In a shutdown an answer that began before it announced no close. A
         # request that its caller sends next could not be finished in time;
@@ -251,23 +254,23 @@
         if (last or self._closing or self._h11.our_state is not h11.DONE or
                 self._h11.their_state is not h11.DONE):
             self._closing = True
-            if not self._conn.unsent:
+            if not self._conn.unsent_bytes:
                 self.close()
             return
         self._h11.start_next_cycle()
         self._expect(self._limits.idle_timeout_s)
         self._conn.resume()
         if self._h11.trailing_data[0]:
-            self._loop.later(0, self._resume)
+            self._loop.call_later(0, self._resume)
 
     def _resume(self):
         try:
-            if self._conn.open:
+            if self._conn.is_open:
                 self._advance()
         except h11.RemoteProtocolError as exc:
             self._reject(exc)
 
-    def break_off(self):
+    def abort(self):
         """Resets the channel in the middle of an answer."""
         self._answering = False
         self._exchange = None
@@ -287,15 +290,15 @@
         self._conn.close()
         self._left()
         if exchange is not None:
-            exchange.caller_left()
+            exchange.on_caller_disconnected()
 
     def _left(self):
         self._cancel_timer()
-        self._server.channel_closed(self)
+        self._server.on_conn_closed(self)
 
     def _expect(self, timeout_s):
         self._cancel_timer()
-        self._timer = self._loop.later(timeout_s, self._quiet)
+        self._timer = self._loop.call_later(timeout_s, self._quiet)
 
     def _cancel_timer(self):
         if self._timer is not None:
--- a/gorsefall/relay/announcing.py
+++ b/gorsefall/relay/replicalimits.py
@@ -6,11 +6,11 @@
 from gorsefall.policy import announced_limits
 from gorsefall.policy import membership
 
-TOLD_S = 6.0
+REPORT_WINDOW_S = 6.0
 """Time for which a message tells of an answer, s: twice and more to each of
 hundreds of entries."""
 
-PART_S = 0.5
+SHARE_UPDATE_PERIOD_S = 0.5
 """Pause after which the entries that send are worked out anew, s."""
 
 
@@ -18,7 +18,7 @@
     name: str
 
 
-class Announcing:
+class LimitTracker:
     """The ``announced_limits.AnnouncedLimit`` of all replicas of a fleet."""
 
     def __init__(self, loop, fleet, members):
@@ -37,7 +37,7 @@
 
     def start(self):
         """Begins to follow which entries are there."""
-        self._loop.later(PART_S, self.start)
+        self._loop.call_later(SHARE_UPDATE_PERIOD_S, self.start)
         self._announced = {
             name: replica
             for name, replica in self._announced.items()
@@ -59,7 +59,7 @@
                                          limit.per_s)
         limit.share = 1 / len(found) if own in found else 0.0
 
-    def answered(self, replica, per_s):
+    def record_response(self, replica, per_s):
         """Notes what an answer of a ``fleet.Replica`` said.
 
         Args:
@@ -80,21 +80,21 @@
                        before=before,
                        part=round(replica.limit.share, 3))
 
-    def told(self, now):
+    def recent_reports(self, now):
         """Returns the ``membership.LimitReport`` objects for a status."""
         return tuple(
             membership.LimitReport(
-                name, replica.record.born,
+                name, replica.record.started_at_ms,
                 int((now - replica.limit.announced_at) *
                     1000), replica.limit.per_s)
             for name, replica in self._announced.items()
-            if now - replica.limit.announced_at < TOLD_S)
+            if now - replica.limit.announced_at < REPORT_WINDOW_S)
 
-    def heard(self, status):
+    def handle_status(self, status):
         """Takes in what the ``membership.Status`` of another entry tells."""
         for limit in status.limit_reports:
             replica = self._fleet.replicas.get(limit.replica)
             if (replica is not None and
-                    replica.record.born == limit.started_at_ms):
+                    replica.record.started_at_ms == limit.started_at_ms):
                 self._heard(replica, limit.per_s,
                             self._loop.now - limit.age_ms / 1000)
--- a/gorsefall/relay/sending.py
+++ b/gorsefall/relay/sending.py
@@ -16,29 +16,29 @@
 
     def __init__(self, exchange, replica, order, choice, *, writes):
         req = exchange.req
-        fields = exchange.node.dialect.encode_request(req, order)
+        fields = exchange.node.codec.encode_request(req, order)
         super().__init__(req.method, req.target, fields, req.body)
         self._exchange = exchange
         self._priority = order.priority
         self._answer = None
         self.replica = replica
-        self.began = time.monotonic()
+        self.sent_at = time.monotonic()
         self.first_at = None
-        self._pulse = stalls.StreamMonitor(replica.target)
+        self._pulse = stalls.StreamMonitor(replica.view)
         self._choice = choice
-        self.channel = None
-        self.place = contextlib.ExitStack()
-        self.prompt_read = self.place.enter_context(
-            replica.occupied(choice.prefill_tokens, writes=writes))
+        self.conn = None
+        self.occupancy = contextlib.ExitStack()
+        self.prefill_done = self.occupancy.enter_context(
+            replica.in_flight(choice.prefill_tokens, decode_heavy=writes))
 
     @property
-    def begun(self):
+    def response_started(self):
         """Whether the first of its answer has come."""
         return self.first_at is not None
 
     def log_sent(self, service, number):
         """Logs what decided the send; it is that ``number`` of its request."""
-        choice, target, node = (self._choice, self.replica.target,
+        choice, target, node = (self._choice, self.replica.view,
                                 self._exchange.node)
         self._exchange.log.info(
             'sent',
@@ -55,20 +55,20 @@
             source=choice.fetch_source.name if choice.fetch_source else None,
             limit_per_s=self.replica.limit.per_s,
             version=node.table.version,
-            proof_age_s=node.proof.logged_age_s())
+            proof_age_s=node.confirmation.logged_age_s())
 
-    def note_start(self, known):
+    def record_response_start(self, known):
         """Tells its service's ``pace.ServiceSpeed`` when its answer began."""
         known.record_start(
-            (time.monotonic() - self.began) * 1000,
+            (time.monotonic() - self.sent_at) * 1000,
             self._choice.prefill_tokens_ahead + self._choice.prefill_tokens,
             self._choice.slowness)
 
-    def note_end(self, known):
+    def record_duration(self, known):
         """Tells the ``pace.ServiceSpeed`` of its service how long it stayed."""
-        known.residence.record((time.monotonic() - self.began) * 1000)
+        known.residence.record((time.monotonic() - self.sent_at) * 1000)
 
-    def events_came(self, count):
+    def record_events(self, count):
         """Notes that events of its stream came together."""
         self._pulse.record_events(count, time.monotonic())
 
@@ -80,31 +80,31 @@
     def pause(self):
         """Reads no more until its caller has taken what came."""
         self._pulse.record_pause()
-        self.channel.pause()
+        self.conn.pause()
 
-    def is_mine(self, status, fields):
+    def matches_response(self, status, fields):
         """See ``outbound.Call``."""
-        self._answer = self._exchange.node.dialect.decode_answer(status, fields)
+        self._answer = self._exchange.node.codec.decode_response(status, fields)
         return self._answer.request_id in (None, self._exchange.req.id)
 
     def on_head(self, status, fields):
-        """See ``outbound.Call``; ``is_mine`` has decoded it."""
+        """See ``outbound.Call``; ``matches_response`` has decoded it."""
         load = self._answer.load
         if load is not None:
-            self._exchange.node.load_told(self.replica, load)
+            self._exchange.node.record_load(self.replica, load)
         if not self._answer.misdirected:
-            self._exchange.node.announcing.answered(self.replica,
-                                                    self._answer.limit_per_s)
-        self._exchange.answer_began(self._answer)
+            self._exchange.node.limit_tracker.record_response(
+                self.replica, self._answer.limit_per_s)
+        self._exchange.on_response_head(self._answer)
 
     def on_data(self, data):
         """See ``outbound.Call``."""
-        self._exchange.answer_data(self, data)
+        self._exchange.on_response_data(self, data)
 
     def on_end(self):
         """See ``outbound.Call``."""
-        self._exchange.answer_ended(self, self._answer)
+        self._exchange.on_response_end(self, self._answer)
 
     def on_fail(self, failure):
         """See ``outbound.Call``."""
-        self._exchange.attempt_failed(self, failure)
+        self._exchange.on_attempt_failed(self, failure)
--- a/tests/stores.py
+++ b/tests/stores.py
@@ -33,36 +33,36 @@
         if fault == 'late':
             # True when sent, on its way for long.
             result = make()
-            self._loop.later(silence_s * 0.9, lambda: done(result, None))
+            self._loop.call_later(silence_s * 0.9, lambda: done(result, None))
         elif fault == 'long':
             # Its bytes come one after the other, so it is never silent.
             result = make()
-            self._loop.later(LONG_S, lambda: done(result, None))
+            self._loop.call_later(LONG_S, lambda: done(result, None))
         elif fault in ('lost', 'busy'):
             after = silence_s if fault == 'lost' else 0.004
-            self._loop.later(after,
-                             lambda: done(None, errors.StoreError(fault)))
+            self._loop.call_later(after,
+                                  lambda: done(None, errors.StoreError(fault)))
         else:
-            self._loop.later(0.004, lambda: done(make(), None))
+            self._loop.call_later(0.004, lambda: done(make(), None))
 
-    def newest(self, after, silence_s, done):
+    def read_snapshot(self, after, silence_s, done):
 
         def make():
             newest = {r.key: r for r in self.records}
             found = sorted(
                 r for r in newest.values() if r.value and r.key > after)
-            return topic.Newest(found[:2], len(found) > 2, len(self.records))
+            return topic.SnapshotPage(found[:2],
+                                      len(found) > 2, len(self.records))
 
         self._answer(make, silence_s, done)
 
-    def read(self, offset, wait_s, most_kb, silence_s, done):
+    def read(self, offset, wait_s, max_kb, silence_s, done):
         if wait_s and offset >= len(self.records):
-            self._loop.later(
-                wait_s,
-                lambda: self.read(offset, 0.0, most_kb, silence_s, done))
+            self._loop.call_later(
+                wait_s, lambda: self.read(offset, 0.0, max_kb, silence_s, done))
             return
         if offset < self.first:
-            self._loop.later(
+            self._loop.call_later(
                 0.004,
                 lambda: done(None, errors.StoreError('gone', forgotten=True)))
             return
@@ -81,7 +81,7 @@
         self.offsets = {}
         self.confirmed = []
 
-    def on_listing(self, records):
+    def on_snapshot(self, records):
         for key in set(self.newest) - {r.key for r in records}:
             del self.newest[key]
         for record in records:
--- a/tests/test_announced_limits.py
+++ b/tests/test_announced_limits.py
@@ -9,7 +9,7 @@
 
 from gorsefall.policy import announced_limits
 from gorsefall.policy import membership
-from gorsefall.relay import announcing
+from gorsefall.relay import replicalimits
 
 WINDOW_S = 4.0
 FACTOR, SPARE = 1.5, 5
@@ -124,33 +124,34 @@
     def __init__(self):
         self.now = 100.0
 
-    def later(self, delay_s, callback):
+    def call_later(self, delay_s, callback):
         pass
 
 
 def _entry(name):
-    replica = types.SimpleNamespace(record=types.SimpleNamespace(id='r',
-                                                                 born=7),
+    replica = types.SimpleNamespace(record=types.SimpleNamespace(
+        id='r', started_at_ms=7),
                                     limit=announced_limits.AnnouncedLimit())
     fleet = types.SimpleNamespace(replicas={'r': replica})
     loop = _Loop()
-    own = announcing.Announcing(loop, fleet, membership.Members(name))
+    own = replicalimits.LimitTracker(loop, fleet, membership.Members(name))
     return own, replica, loop
 
 
 def _send_status(source, target, now):
-    target.heard(membership.Status('a', 1, 1, limit_reports=source.told(now)))
+    target.handle_status(
+        membership.Status('a', 1, 1, limit_reports=source.recent_reports(now)))
 
 
 def test_a_limit_and_its_end_are_reported_to_other_entries():
     """Entries flood a replica because only one of them received its limit."""
     one, replica, own_loop = _entry('a')
     other, same, loop = _entry('b')
-    one.answered(replica, 1.5)
+    one.record_response(replica, 1.5)
     _send_status(one, other, 100.0)
     assert same.limit.per_s == 1.5
     own_loop.now = loop.now = 101.0
-    one.answered(replica, None)
+    one.record_response(replica, None)
     _send_status(one, other, 101.0)
     assert same.limit.per_s is None
 
@@ -159,8 +160,8 @@
     """A restarted replica gets no requests because of its earlier limit."""
     one, replica, _ = _entry('a')
     other, same, _ = _entry('b')
-    one.answered(replica, 1.5)
-    same.record.born = 8
+    one.record_response(replica, 1.5)
+    same.record.started_at_ms = 8
     _send_status(one, other, 100.0)
     assert same.limit.per_s is None
 
--- a/tests/test_revocation.py
+++ b/tests/test_revocation.py
@@ -17,7 +17,7 @@
 ROUTE = model.Route(name='r',
                     host='h',
                     prefix='/',
-                    kind=model.Kind.IDEMPOTENT,
+                    kind=model.RouteKind.IDEMPOTENT,
                     timeout_s=1.0,
                     target_s=0.2,
                     priority=0,
@@ -31,7 +31,7 @@
                         services={},
                         limits=model.CallerLimits(),
                         accounts=dict.fromkeys(keys, account),
-                        keyed=True)
+                        requires_key=True)
 
 
 def _settings(**fields):
@@ -45,13 +45,13 @@
 
 def _grant(table, key, *, strict):
     entry = types.SimpleNamespace(table=table,
-                                  proof=freshness.Confirmation(1.0),
+                                  confirmation=freshness.Confirmation(1.0),
                                   cfg=_settings(strict_revocation=strict))
     req = model.CallerRequest(id='1',
                               method=b'GET',
                               target=b'/x',
                               host='h',
-                              headers=headers.read([]),
+                              headers=headers.from_items([]),
                               key=key)
     return grant.Grant(entry, req)
 
@@ -78,11 +78,11 @@
                         apply_s=apply_s,
                         settle_s=settle_s)
         wait_s = pacing.config_wait_s(cfg)
-        noticed_s = wait_s + topic.SILENCE_S
+        noticed_s = wait_s + topic.SILENCE_TIMEOUT_S
         assert (noticed_s < max(apply_s, settle_s) or
-                wait_s == pacing.CONFIG_WAIT_MIN_S)
+                wait_s == pacing.MIN_CONFIG_WAIT_S)
 
 
 def test_waits_are_short_where_revocation_is_strict():
     cfg = _settings(strict_revocation=True)
-    assert pacing.config_wait_s(cfg) <= pacing.CONFIG_WAIT_S
+    assert pacing.config_wait_s(cfg) <= pacing.MAX_CONFIG_WAIT_S
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -146,10 +146,10 @@
     """Replicas keep crashing because each entry detects the cause alone."""
     site = crashing.Site(entries, replicas, seed)
     for i in range(40):
-        site.loop.later(1.0 + 0.45 * i,
-                        lambda: site.ask(b'guilty', 0.0, guilty=True))
+        site.loop.call_later(1.0 + 0.45 * i,
+                             lambda: site.ask(b'guilty', 0.0, guilty=True))
     for i in range(400):
-        site.loop.later(0.05 * i, lambda i=i: site.ask(b'%d' % i, 0.4))
+        site.loop.call_later(0.05 * i, lambda i=i: site.ask(b'%d' % i, 0.4))
     site.loop.run(25.0)
     late = [
         at for at in site.guilty_runs if at > site.guilty_runs[2] + CONTACT_S
@@ -170,9 +170,9 @@
             site.crash(replica)
 
     for at in (3.0, 3.4, 3.8):
-        site.loop.later(at, burst)
+        site.loop.call_later(at, burst)
     for i in range(600):
-        site.loop.later(0.01 * i, lambda i=i: site.ask(b'%d' % i, 0.5))
+        site.loop.call_later(0.01 * i, lambda i=i: site.ask(b'%d' % i, 0.5))
     site.loop.run(20.0)
     blocked = [e.crashes.suspects.poison_requests for e in site.entries]
     assert not any(blocked), blocked
@@ -184,10 +184,12 @@
     """Each replaced entry sends a poison request once more."""
     site = crashing.Site(9, 6, 5)
     for i in range(8):
-        site.loop.later(0.5 * i, lambda: site.ask(b'guilty', 0.0, guilty=True))
+        site.loop.call_later(0.5 * i,
+                             lambda: site.ask(b'guilty', 0.0, guilty=True))
     site.loop.run(10.0)
     site.entries[0].start()
-    site.loop.run(10.0 + 3 * site.heartbeat_s + crashing.crashes.ASK_PAUSE_S)
+    site.loop.run(10.0 + 3 * site.heartbeat_s +
+                  crashing.crashes.MIN_QUERY_PAUSE_S)
     assert site.entries[0].crashes.suspects.is_blocked(b'guilty', site.loop.now)
 
 
@@ -197,8 +199,8 @@
     site = crashing.Site(9, 8, copies)
     for i in range(8):
         for _ in range(copies):
-            site.loop.later(1.0 + 4.0 * i,
-                            lambda: site.ask(b'guilty', 0.0, guilty=True))
+            site.loop.call_later(1.0 + 4.0 * i,
+                                 lambda: site.ask(b'guilty', 0.0, guilty=True))
     site.loop.run(40.0)
     late = [
         at for at in site.guilty_runs if at > site.guilty_runs[2] + CONTACT_S
@@ -209,10 +211,13 @@
 def test_an_attempt_during_an_exit_weighs_less():
     """A good request is blocked that was retried from one crashing replica of
     a burst to the next."""
-    run = crashes.Run(b'x', sent_at=1.0, first_at=None, again=True)
+    run = crashes.BrokenRun(b'x',
+                            sent_at=1.0,
+                            first_event_at=None,
+                            after_broken_run=True)
     assert run.weight(1.01) is OLD
     assert run.weight(1.5) is YOUNG
-    assert run._replace(again=False).weight(1.01) is YOUNG
+    assert run._replace(after_broken_run=False).weight(1.01) is YOUNG
 
 
 def test_entries_that_saw_part_of_the_crashes_store_them():
@@ -221,13 +226,13 @@
     site = crashing.Site(9, 6, 6, lost=0.0)
     stored = []
     for entry in site.entries:
-        entry.crashes.on_blamed = stored.append
+        entry.crashes.on_poison_request = stored.append
     # Each of three entries observes one crash before it receives the others.
     for entry in site.entries[:3]:
         replica = site.sound()[0]
-        run = crashes.Run(b'x', sent_at=-1.0, first_at=None)
+        run = crashes.BrokenRun(b'x', sent_at=-1.0, first_event_at=None)
         replica.up = False
-        entry.crashes.broke(replica, run, lambda: None)
+        entry.crashes.handle_broken_run(replica, run, lambda: None)
     site.loop.run(3 * site.heartbeat_s)
     assert stored and set(stored) == {b'x'}
     assert all(e.crashes.suspects.is_blocked(b'x', 2.0) for e in site.entries)
