--- a/tests/test_attempt_timeouts.py
+++ b/tests/test_attempt_timeouts.py
@@ -11,22 +11,22 @@
     urgent requests, which are not repeatable and so keep their slots, start
     first. The timeout has to follow the current response times.
     """
-    one = attempt_timeouts.StartLatency()
+    latency = attempt_timeouts.StartLatency()
     for _ in range(50):
-        one.record(0.05)
-        one.record(0.1)
-    assert one.timeout_s(1.2) == 1.2
+        latency.record(0.05)
+        latency.record(0.1)
+    assert latency.timeout_s(1.2) == 1.2
     for _ in range(8):
-        one.record(1.2)
-    assert one.timeout_s(1.2) > 2.5
+        latency.record(1.2)
+    assert latency.timeout_s(1.2) > 2.5
     for _ in range(60):
-        one.record(0.07)
-    assert one.timeout_s(1.2) == 1.2
+        latency.record(0.07)
+    assert latency.timeout_s(1.2) == 1.2
 
 
 def test_one_hanging_replica_does_not_lengthen_the_timeout():
     """One in seven attempts hangs; the others keep the timeout short."""
-    one = attempt_timeouts.StartLatency()
+    latency = attempt_timeouts.StartLatency()
     for i in range(100):
-        one.record(1.2 if i % 7 == 0 else 0.07)
-    assert one.timeout_s(1.2) < 2.5
+        latency.record(1.2 if i % 7 == 0 else 0.07)
+    assert latency.timeout_s(1.2) < 2.5
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -42,36 +42,37 @@
 
 
 def _record(sends):
-    made = attempts.Attempts()
+    tracked = attempts.Attempts()
     for name, end in sends:
-        made.record_sent(name)
+        tracked.record_sent(name)
         if end in _RECORDERS:
-            _RECORDERS[end](made)
-    return made
+            _RECORDERS[end](tracked)
+    return tracked
 
 
 @hypothesis.given(_ATTEMPTS, _TERMS)
 def test_matches_a_recount(sends, terms):
-    made = _record(sends)
+    tracked = _record(sends)
     lost = [n for n, e in sends if e is End.LOST]
     counted = [
         e for _, e in sends if e is not End.UNREACHED and
         not (e is End.REFUSED and terms.refusals_uncounted)
     ]
     allowed = len(counted) < terms.max_attempts
-    assert sorted(made.in_doubt) == sorted(lost)
-    assert made.tried == {n for n, _ in sends}
-    assert made.may_run_concurrently(terms) == (allowed and terms.repeatable)
-    assert made.may_retry(terms) == (allowed and (terms.repeatable or not lost))
+    assert sorted(tracked.in_doubt) == sorted(lost)
+    assert tracked.tried == {n for n, _ in sends}
+    assert tracked.may_run_concurrently(terms) == (allowed and terms.repeatable)
+    assert tracked.may_retry(terms) == (allowed and
+                                        (terms.repeatable or not lost))
 
 
 @hypothesis.given(_ATTEMPTS, _TERMS)
 def test_no_request_in_doubt_is_reported_as_not_run(sends, terms):
-    made = _record(sends)
+    tracked = _record(sends)
     lost = any(e is End.LOST for _, e in sends)
     for exc in (errors.ReplicaRefusedError('no'), errors.DrainingError('no'),
                 errors.BackendFailedError('no')):
-        reported = made.reportable_error(exc, 'why', terms)
+        reported = tracked.reportable_error(exc, 'why', terms)
         if not lost:
             assert reported is exc
         elif isinstance(exc, errors.NotRunError) or not terms.repeatable:
@@ -85,8 +86,9 @@
     backup is at the first one, which is gone. The second attempt at the first
     replica must not remove the doubt about the first attempt.
     """
-    made = _record([('a', End.LOST), ('b', End.REFUSED), ('a', End.UNREACHED)])
-    assert made.in_doubt == ['a']
+    tracked = _record([('a', End.LOST), ('b', End.REFUSED),
+                       ('a', End.UNREACHED)])
+    assert tracked.in_doubt == ['a']
 
 
 class _Refusing(serving.Serving):
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -13,20 +13,20 @@
 def test_the_prefill_speed_is_estimated_despite_waits(ms_per_token):
     """Half of the responses waited behind work that was not reported."""
     rng = random.Random(1)
-    known = pace.ServiceSpeed()
+    speed = pace.ServiceSpeed()
     for _ in range(200):
         tokens = rng.randint(1000, 12000)
         unknown = rng.choice([0, 0, rng.randint(0, 9000)])
-        known.record_start((tokens + unknown) * ms_per_token, tokens, 1.0)
-    assert known.prefill_ms_per_token == pytest.approx(ms_per_token, rel=0.25)
+        speed.record_start((tokens + unknown) * ms_per_token, tokens, 1.0)
+    assert speed.prefill_ms_per_token == pytest.approx(ms_per_token, rel=0.25)
 
 
 def test_short_prompts_are_no_samples():
     """A round trip of 3 ms counts as the prefill of 20 tokens."""
-    known = pace.ServiceSpeed()
+    speed = pace.ServiceSpeed()
     for _ in range(100):
-        known.record_start(3.0, 20, 1.0)
-    assert known.prefill_ms_per_token == pace.INITIAL_PREFILL_MS_PER_TOKEN
+        speed.record_start(3.0, 20, 1.0)
+    assert speed.prefill_ms_per_token == pace.INITIAL_PREFILL_MS_PER_TOKEN
 
 
 def _targets(pauses):
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -19,72 +19,73 @@
 
 def test_the_third_crash_blocks_a_request():
     """One request crashes one replica after another."""
-    known = suspects.Suspects()
+    tracker = suspects.Suspects()
     for i in range(3):
-        assert not known.is_blocked(b'x', 10.0 * i)
-        known.record_crash(b'x', _crash(i), YOUNG, 10.0 * i)
-    assert known.is_blocked(b'x', 21.0)
+        assert not tracker.is_blocked(b'x', 10.0 * i)
+        tracker.record_crash(b'x', _crash(i), YOUNG, 10.0 * i)
+    assert tracker.is_blocked(b'x', 21.0)
 
 
 def test_a_crash_counts_once_whoever_reports_it():
     """A good request is blocked because several entries saw one crash."""
-    known = suspects.Suspects()
+    tracker = suspects.Suspects()
     for i in range(9):
-        known.record_crash(b'x', _crash(1), YOUNG, 0.01 * i)
-    assert not known.is_blocked(b'x', 1.0)
+        tracker.record_crash(b'x', _crash(1), YOUNG, 0.01 * i)
+    assert not tracker.is_blocked(b'x', 1.0)
 
 
 def test_a_completed_run_clears_a_request():
     """A good request is blocked after unrelated crashes over several days."""
-    known = suspects.Suspects()
+    tracker = suspects.Suspects()
     for i in range(9):
-        known.record_crash(b'x', _crash(i), YOUNG, 10.0 * i)
-        known.record_completion(b'x', 10.0 * i + 5)
-    assert not known.must_serialize(b'x')
+        tracker.record_crash(b'x', _crash(i), YOUNG, 10.0 * i)
+        tracker.record_completion(b'x', 10.0 * i + 5)
+    assert not tracker.must_serialize(b'x')
 
 
 def test_requests_beside_a_poison_request_are_not_blocked():
     """Good requests are blocked that ran beside a poison request."""
-    known = suspects.Suspects()
+    tracker = suspects.Suspects()
     for i in range(4):
-        known.record_crash(b'guilty', _crash(i), YOUNG, 10.0 * i)
+        tracker.record_crash(b'guilty', _crash(i), YOUNG, 10.0 * i)
         if i < 3:
-            known.record_crash(b'good', _crash(i), YOUNG, 10.0 * i)
-    assert known.poison_requests == [b'guilty']
+            tracker.record_crash(b'good', _crash(i), YOUNG, 10.0 * i)
+    assert tracker.poison_requests == [b'guilty']
 
 
 def test_simultaneous_exits_weigh_less():
     """Good requests are blocked by bursts of crashes."""
-    known = suspects.Suspects()
+    tracker = suspects.Suspects()
     for burst in range(3):
         for i in range(12):
-            known.record_crash(b'%d' % (i if i else 0), _crash(12 * burst + i),
-                               YOUNG, 5.0 * burst + 0.001 * i)
-    assert not known.poison_requests
+            tracker.record_crash(b'%d' % (i if i else 0),
+                                 _crash(12 * burst + i), YOUNG,
+                                 5.0 * burst + 0.001 * i)
+    assert not tracker.poison_requests
 
 
 def test_a_poison_request_is_tried_again_after_its_block_time():
     """A request stays blocked that a new service version can handle."""
-    known = suspects.Suspects()
+    tracker = suspects.Suspects()
     for i in range(3):
-        known.record_crash(b'x', _crash(i), YOUNG, 10.0 * i)
+        tracker.record_crash(b'x', _crash(i), YOUNG, 10.0 * i)
     later = 20.0 + suspects.BLOCK_S + 1
-    assert not known.is_blocked(b'x', later)
-    known.record_crash(b'x', _crash(3), YOUNG, later)
-    assert known.is_blocked(b'x', later + suspects.BLOCK_S + 1)
-    known.record_completion(b'x', later + 2 * suspects.BLOCK_S)
-    assert not known.poison_requests
+    assert not tracker.is_blocked(b'x', later)
+    tracker.record_crash(b'x', _crash(3), YOUNG, later)
+    assert tracker.is_blocked(b'x', later + suspects.BLOCK_S + 1)
+    tracker.record_completion(b'x', later + 2 * suspects.BLOCK_S)
+    assert not tracker.poison_requests
 
 
 def test_stored_crashes_are_bounded():
     """Memory grows with each crash; the requests with most crashes stay."""
-    known = suspects.Suspects()
+    tracker = suspects.Suspects()
     for i in range(3):
-        known.record_crash(b'guilty', _crash(i), YOUNG, float(i))
+        tracker.record_crash(b'guilty', _crash(i), YOUNG, float(i))
     for i in range(3 * suspects.MAX_SUSPECTS):
-        known.record_crash(b'%d' % i, _crash(1000 + i % 50), YOUNG, 10.0 + i)
-    assert len(known) <= suspects.MAX_SUSPECTS
-    assert known.is_blocked(b'guilty', 20.0)
+        tracker.record_crash(b'%d' % i, _crash(1000 + i % 50), YOUNG, 10.0 + i)
+    assert len(tracker) <= suspects.MAX_SUSPECTS
+    assert tracker.is_blocked(b'guilty', 20.0)
 
 
 _EVENTS = st.lists(st.tuples(st.sampled_from([b'a', b'b', b'c']),
@@ -92,12 +93,12 @@
                    max_size=14)
 
 
-def _record(known, events):
+def _record(tracker, events):
     for at, (digest, number, weight) in events:
         if number < 0:
-            known.record_completion(digest, float(at))
+            tracker.record_completion(digest, float(at))
         else:
-            known.record_crash(digest, _crash(number), weight, float(at))
+            tracker.record_crash(digest, _crash(number), weight, float(at))
 
 
 def _oracle(events):
@@ -135,9 +136,9 @@
               for i, (digest, number, weight) in enumerate(events)]
     reports = events + [e for e in events if rng.random() < 0.5]
     rng.shuffle(reports)
-    known = suspects.Suspects()
-    _record(known, reports)
-    assert set(known.poison_requests) == _oracle(events)
+    tracker = suspects.Suspects()
+    _record(tracker, reports)
+    assert set(tracker.poison_requests) == _oracle(events)
 
 
 @pytest.mark.parametrize('entries, replicas, seed', [(9, 6, 1), (9, 6, 2),
