--- a/bench/losses.py
+++ b/bench/losses.py
@@ -109,7 +109,7 @@
     parser.add_argument('logs', help='log lines of all entries')
     parser.add_argument('--by', choices=sorted(_WAYS), default='route')
     args = parser.parse_args(argv)
-    log = loglines.read([args.logs])
+    log = loglines.read_files([args.logs])
     lines = sorted(((ln.at_s, ln.event) for ln in log.lines),
                    key=lambda pair: pair[0])
     _WAYS[args.by](lines, sys.stdout)
--- a/gorsefall/bench.py
+++ b/gorsefall/bench.py
@@ -24,9 +24,9 @@
 
 MAX_REQUESTS = 50000
 OK = 200
-REFUSED = (429, 503)
-LEFT = 499
-BROKEN = 599
+REFUSED_STATUSES = (429, 503)
+CALLER_LEFT_STATUS = 499
+BROKEN_STATUS = 599
 
 
 class Stream(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
@@ -108,7 +108,7 @@
     """
     stream: Stream
     at_s: float
-    status: int = BROKEN
+    status: int = BROKEN_STATUS
     ttft_s: float = 0.0
     e2e_s: float = 0.0
     tokens: int = 0
@@ -128,7 +128,7 @@
         raise errors.BenchError(f'{path}: {exc}') from exc
 
 
-def targets(sc):
+def load_classes(sc):
     """Returns ``(customer, class) -> Klass`` of the scenario's catalogue.
 
     Raises:
@@ -193,7 +193,7 @@
             continue
         chunk = msgspec.json.decode(line[6:])
         if 'error' in chunk:
-            return BROKEN
+            return BROKEN_STATUS
         text = chunk['choices'][0]['delta'].get('content')
         if text:
             now = time.monotonic()
@@ -203,7 +203,7 @@
                 result.gap_s = max(result.gap_s, now - last)
             last = now
             result.tokens += len(text.split())
-    return OK if done else BROKEN
+    return OK if done else BROKEN_STATUS
 
 
 async def _ask(session, addr, st, n, result):
@@ -228,9 +228,9 @@
         async with asyncio.timeout(patience_s):
             await _ask(session, addr, result.stream, n, result)
     except TimeoutError:
-        result.status = LEFT
+        result.status = CALLER_LEFT_STATUS
     except aiohttp.ClientError:
-        result.status = BROKEN
+        result.status = BROKEN_STATUS
     result.e2e_s = time.monotonic() - t0
 
 
@@ -286,14 +286,14 @@
         addr_of: Function from a stand-in's name to its ``host:port``, for
             the scenario's faults.
     """
-    klasses = targets(sc)
+    klasses = load_classes(sc)
     before = asyncio.run(_scrape(entries))
     results, span = asyncio.run(_drive(sc, entries, klasses, addr_of))
     after = asyncio.run(_scrape(entries))
     return _report(sc, klasses, results, span, after - before)
 
 
-def met(result, klass):
+def meets_targets(result, klass):
     """Whether a result met its class's latency targets."""
     return (result.status == OK and result.ttft_s * 1000 <= klass.ttft_ms and
             result.e2e_s * 1000 <= klass.e2e_ms)
@@ -323,21 +323,35 @@
 
 def _class_report(klass, rs, span):
     ok = [r for r in rs if r.status == OK]
-    good = [r for r in rs if met(r, klass)]
+    good = [r for r in rs if meets_targets(r, klass)]
     return {
-        'customer': klass.owner,
-        'class': klass.name,
-        'tier': klass.tier,
-        'sent': len(rs),
-        'served': len(ok),
-        'attainment': round(len(good) / len(rs), 4),
-        'shed': sum(1 for r in rs if r.status in REFUSED),
-        'left': sum(1 for r in rs if r.status == LEFT),
-        'failed': sum(1 for r in rs if r.status not in (OK, LEFT, *REFUSED)),
-        'goodput_tok_s': round(sum(r.tokens for r in good) / span, 1),
-        'ttft_p50_ms': _quantile([r.ttft_s for r in ok], 50),
-        'ttft_p95_ms': _quantile([r.ttft_s for r in ok], 95),
-        'gap_p95_ms': _quantile([r.gap_s for r in ok], 95),
+        'customer':
+            klass.owner,
+        'class':
+            klass.name,
+        'tier':
+            klass.tier,
+        'sent':
+            len(rs),
+        'served':
+            len(ok),
+        'attainment':
+            round(len(good) / len(rs), 4),
+        'shed':
+            sum(1 for r in rs if r.status in REFUSED_STATUSES),
+        'left':
+            sum(1 for r in rs if r.status == CALLER_LEFT_STATUS),
+        'failed':
+            sum(1 for r in rs
+                if r.status not in (OK, CALLER_LEFT_STATUS, *REFUSED_STATUSES)),
+        'goodput_tok_s':
+            round(sum(r.tokens for r in good) / span, 1),
+        'ttft_p50_ms':
+            _quantile([r.ttft_s for r in ok], 50),
+        'ttft_p95_ms':
+            _quantile([r.ttft_s for r in ok], 95),
+        'gap_p95_ms':
+            _quantile([r.gap_s for r in ok], 95),
     }
 
 
--- a/gorsefall/catalogue.py
+++ b/gorsefall/catalogue.py
@@ -15,7 +15,7 @@
 
 TIERS = range(1, 6)
 
-CONFLICT_WINDOW = 200
+CONFLICT_WINDOW_VERSIONS = 200
 """Changes based on a version older than this many are rejected unseen, so
 that readers need to know only the recent changes to agree on conflicts."""
 
@@ -105,7 +105,7 @@
     drop: list[list[str]] = []
     author: str = ''
 
-    def touched(self):
+    def touched_keys(self):
         """Returns the keys this change adds, replaces or removes."""
         keys = {item.key for item in (*self.customers, *self.classes)}
         return keys | {tuple(key) for key in self.drop}
@@ -131,7 +131,7 @@
     recent: list[list] = []
 
 
-def check(doc):
+def validate(doc):
     """Checks a document; returns it.
 
     Raises:
@@ -178,7 +178,7 @@
         errors.CatalogueError: Bad TOML or failed checks.
     """
     try:
-        return check(msgspec.toml.decode(text.encode(), type=Document))
+        return validate(msgspec.toml.decode(text.encode(), type=Document))
     except (msgspec.ValidationError, msgspec.DecodeError) as exc:
         raise errors.CatalogueError(str(exc)) from exc
 
@@ -210,7 +210,7 @@
             publishers need them to see what a file changes, entries do not.
     """
 
-    def __init__(self, keep=CONFLICT_WINDOW):
+    def __init__(self, keep=CONFLICT_WINDOW_VERSIONS):
         self._keep = keep
         self.version = 0
         self.offset = 0
@@ -254,14 +254,15 @@
             return False
         self._set(self.version + 1, doc)
         self.accepted[change.id] = self.version
-        for key in change.touched():
+        for key in change.touched_keys():
             self._changed_at[key] = self.version
         return True
 
     def _result(self, change):
-        if not self.version - CONFLICT_WINDOW <= change.base <= self.version:
+        if not (self.version - CONFLICT_WINDOW_VERSIONS <= change.base <=
+                self.version):
             return None
-        touched = change.touched()
+        touched = change.touched_keys()
         if any(self._changed_at.get(k, 0) > change.base for k in touched):
             return None
         # Replaced items keep their place, so that a file stays readable.
@@ -274,7 +275,7 @@
             classes=[i for i in items.values() if isinstance(i, Klass)],
             customers=[i for i in items.values() if isinstance(i, Customer)])
         try:
-            return check(doc)
+            return validate(doc)
         except errors.CatalogueError:
             return None
 
@@ -285,7 +286,7 @@
                         doc=self.doc,
                         recent=[[v, *key]
                                 for key, v in self._changed_at.items()
-                                if v > self.version - CONFLICT_WINDOW])
+                                if v > self.version - CONFLICT_WINDOW_VERSIONS])
 
     def restore(self, snap):
         """Starts over from ``snap``, unless that would go back.
--- a/gorsefall/claims.py
+++ b/gorsefall/claims.py
@@ -16,7 +16,7 @@
 from gorsefall import ids
 
 
-class Kind(enum.Enum):
+class RecordKind(enum.Enum):
     """What a ledger record says."""
     CLAIM = 'claim'
     RELEASE = 'release'
@@ -37,7 +37,7 @@
         status: HTTP status of the answer (``done``).
         reply: The answer, or None when too large to keep (``done``).
     """
-    kind: Kind
+    kind: RecordKind
     key: str
     rid: str
     entry: str = ''
@@ -62,14 +62,14 @@
     """
     fence: ids.Fence
     rid: ids.RequestId
-    at: float
+    written_at: float
     digest: str
-    seen: float
+    seen_at: float
     status: int = 0
     reply: dict | None = None
 
 
-def digest(op, args):
+def call_digest(op, args):
     """Returns a short digest of a call, the same for equal calls."""
     raw = msgspec.json.encode([op, args], order='deterministic')
     return xxhash.xxh64_hexdigest(raw)
@@ -103,23 +103,23 @@
             return False
         self.offset = offset + 1
         held = self.claims.get(rec.key)
-        if rec.kind is Kind.CLAIM:
-            if held is None or rec.at - held.at > self.ttl_s:
+        if rec.kind is RecordKind.CLAIM:
+            if held is None or rec.at - held.written_at > self.ttl_s:
                 self.claims[rec.key] = Claim(offset, rec.rid, rec.at,
                                              rec.digest, now)
             self._latest = max(self._latest, rec.at)
         elif held is not None and held.rid == rec.rid:
-            if rec.kind is Kind.DONE:
+            if rec.kind is RecordKind.DONE:
                 held.status, held.reply = rec.status, rec.reply
             elif not held.status:
                 del self.claims[rec.key]
         return True
 
-    def forget(self):
+    def drop_expired(self):
         """Drops claims too old for any later record to be compared with.
 
         Twice the lifetime is kept, as writers' clocks differ.
         """
         old = self._latest - 2 * self.ttl_s
-        for key in [k for k, c in self.claims.items() if c.at < old]:
+        for key in [k for k, c in self.claims.items() if c.written_at < old]:
             del self.claims[key]
--- a/gorsefall/cmdline.py
+++ b/gorsefall/cmdline.py
@@ -94,17 +94,17 @@
     from gorsefall.emulator import compare
     from gorsefall.emulator import site
     sites = [site.load(path) for path in args.sites]
-    sites += [site.drawn(seed) for seed in range(args.drawn)]
+    sites += [site.random_site(seed) for seed in range(args.drawn)]
     if not sites:
         raise errors.SettingsError('name a site file, or --drawn sites')
     found = []
     for row in compare.rows(sites, args.seeds, args.seconds):
-        print(compare.line(row), flush=True)
+        print(compare.format_row(row), flush=True)
         found.append(row)
     if args.out:
         pathlib.Path(args.out).write_bytes(msgspec.json.encode(found))
     if args.plot:
-        compare.draw(found, args.plot)
+        compare.plot(found, args.plot)
     return 0
 
 
@@ -112,7 +112,7 @@
     *files, request = args.files_and_id
     if not files:
         raise errors.LogFileError('name the log files, then the request')
-    print(explain.explain(loglines.read(files), request))
+    print(explain.explain(loglines.read_files(files), request))
     return 0
 
 
--- a/gorsefall/daemon.py
+++ b/gorsefall/daemon.py
@@ -27,7 +27,7 @@
         return self.shutdown.begun
 
     @property
-    def under_way(self):
+    def in_flight(self):
         """Number of requests under way."""
         raise NotImplementedError
 
@@ -41,7 +41,7 @@
         """How long what runs may take after the signal, s."""
         raise NotImplementedError
 
-    def stopping(self):
+    def on_drain(self):
         """Called once, when the stop begins."""
 
     @core.handler('signal', channel='*', priority=100)
@@ -59,5 +59,5 @@
         """Stops being ready, serves what comes, ends with its last answer."""
         if self.shutdown.begin(time.monotonic(), self.lame_duck_s,
                                self.drain_s):
-            self.log.info('stopping', running=self.under_way)
-            self.stopping()
+            self.log.info('stopping', running=self.in_flight)
+            self.on_drain()
--- a/gorsefall/digests.py
+++ b/gorsefall/digests.py
@@ -11,7 +11,7 @@
 
 DIGEST_BYTES = 16
 
-SHOWN_BYTES = 6
+LOGGED_DIGEST_BYTES = 6
 """Bytes of a digest in log lines: enough to tell a day's requests apart."""
 
 _SIZE = struct.Struct('>I')
@@ -39,7 +39,7 @@
         return self._hash.digest()
 
 
-def request(key, caller, target, body_digest):
+def request_digest(key, caller, target, body_digest):
     """Returns the ``ids.RequestDigest`` of a request.
 
     It is keyed, so that who knows no key cannot find out from a log line
@@ -58,6 +58,6 @@
     return ids.RequestDigest(found.digest())
 
 
-def shown(digest):
+def abbreviate(digest):
     """Returns what log lines show of a digest."""
-    return digest[:SHOWN_BYTES].hex()
+    return digest[:LOGGED_DIGEST_BYTES].hex()
--- a/gorsefall/directory.py
+++ b/gorsefall/directory.py
@@ -24,7 +24,7 @@
         raise NotImplementedError
 
 
-def known(in_force):
+def require_loaded(in_force):
     """Returns ``in_force`` unless it is None.
 
     Args:
--- a/gorsefall/emulator/calls.py
+++ b/gorsefall/emulator/calls.py
@@ -50,13 +50,13 @@
                                 firsts={_SERVICE: self.budget.firsts(now)})
 
 
-class Calls:
+class CallSimulation:
     """The calls of one play.
 
     Attributes:
-        arrivals: Calls that reached a replica, refused ones too.
-        again: Those beyond the first of each.
-        most_runs: ``call kind name -> most runs of one call``.
+        attempts: Calls that reached a replica, refused ones too.
+        retries: Those beyond the first of each.
+        max_runs: ``call kind name -> most runs of one call``.
     """
 
     def __init__(self, site, policy, tally, at, rng):
@@ -65,7 +65,7 @@
         Args:
             site: The ``site.Site``.
             policy: One of ``policies.POLICIES``.
-            tally: The ``play.Tally``.
+            tally: The ``simulation.Tally``.
             at: Called with ``(at_ms, action, *args)``: has the play call
                 ``action(now_ms, *args)`` then.
             rng: Source of all draws.
@@ -84,10 +84,10 @@
             for i, name in enumerate(names)
         }
         self._desks = [_Desk(i, sheet, names) for i in range(site.entries)]
-        self.arrivals = self.again = 0
-        self.most_runs = dict.fromkeys((k.name for k in site.calls), 0)
+        self.attempts = self.retries = 0
+        self.max_runs = dict.fromkeys((k.name for k in site.calls), 0)
 
-    def begin(self, seconds):
+    def schedule(self, seconds):
         """Draws the calls of ``seconds`` of load."""
         if self._site.calls and self._site.exchange_ms:
             for desk in self._desks:
@@ -98,11 +98,12 @@
             while at_ms <= seconds * 1000:
                 work_ms = kind.work_ms * self._rng.lognormvariate(
                     -kind.spread**2 / 2, kind.spread)
-                run = plain.Run(kind,
-                                at_ms,
-                                entry=self._rng.randrange(self._site.entries),
-                                work_ms=work_ms,
-                                hopeless=self._rng.random() < kind.fails)
+                run = plain.PendingCall(
+                    kind,
+                    at_ms,
+                    entry=self._rng.randrange(self._site.entries),
+                    work_ms=work_ms,
+                    always_fails=self._rng.random() < kind.fails)
                 self._at(at_ms, self._arrive, run)
                 at_ms += self._rng.expovariate(kind.per_s) * 1000
 
@@ -116,8 +117,8 @@
                      until_ms)
 
     def _arrive(self, now_ms, run):
-        if not run.returned:
-            self._tally.asked(run.kind)
+        if not run.is_retry:
+            self._tally.count_request(run.kind)
         self._desks[run.entry].budget.first(now_ms / 1000)
         self._send(now_ms, run)
 
@@ -125,57 +126,58 @@
         desk = self._desks[run.entry]
         fit = [t for n, t in desk.targets.items() if n not in run.tried]
         desk.view.show(fit, now_ms / 1000)
-        ask = policies.Ask(fit, knowledge.Want(zone='z'), desk.service,
-                           now_ms / 1000, self._rng)
+        ask = policies.PlacementRequest(fit, knowledge.Want(zone='z'),
+                                        desk.service, now_ms / 1000, self._rng)
         target = run.target = self._policy(ask).target
         run.tried.add(target.name)
         run.sent_ms = now_ms
         target.sent(0)
         target.began(0)
-        self.arrivals += 1
+        self.attempts += 1
         replica = self._replicas[target.name]
-        offer = replica.offer(run)
-        if offer is plain.Offer.RUNS:
+        offer = replica.admit(run)
+        if offer is plain.Admission.RUNS:
             self._run(now_ms, replica, run)
-        elif offer is plain.Offer.REFUSED:
+        elif offer is plain.Admission.REFUSED:
             target.ended()
-            replica.tell(target, now_ms)
+            replica.report_load(target, now_ms)
             self._refused(now_ms, run)
 
     def _run(self, now_ms, replica, run):
         run.runs += 1
-        self.most_runs[run.kind.name] = max(self.most_runs[run.kind.name],
-                                            run.runs)
-        self._at(now_ms + run.work_ms * replica.times, self._done, replica, run)
+        self.max_runs[run.kind.name] = max(self.max_runs[run.kind.name],
+                                           run.runs)
+        self._at(now_ms + run.work_ms * replica.slowdown, self._done, replica,
+                 run)
 
     def _done(self, now_ms, replica, run):
-        ok = not run.hopeless and self._rng.random() >= replica.failing
+        ok = not run.always_fails and self._rng.random() >= replica.failure_rate
         run.target.ended()
         desk = self._desks[run.entry]
         desk.view.answered(run.target, ok, now_ms / 1000)
         desk.service.speed.stay.ended(now_ms - run.sent_ms)
-        following, gone = replica.next(now_ms)
-        replica.tell(run.target, now_ms)
+        following, gone = replica.release_slot(now_ms)
+        replica.report_load(run.target, now_ms)
         for other in gone:
             other.target.ended()
         if following is not None:
             self._run(now_ms, replica, following)
-        if run.left(now_ms):
+        if run.abandoned(now_ms):
             return
         if ok:
             on_time = now_ms - run.at_ms <= run.kind.aim_ms
-            self._tally.served(run.kind, on_time=on_time)
+            self._tally.count_served(run.kind, on_time=on_time)
         elif run.kind.repeatable:
             self._send_again(now_ms, run)
 
     def _refused(self, now_ms, run):
-        if run.left(now_ms) or self._send_again(now_ms, run):
+        if run.abandoned(now_ms) or self._send_again(now_ms, run):
             return
-        if run.returned or run.runs:
-            self._tally.refused(run.kind)
+        if run.is_retry or run.runs:
+            self._tally.count_refused(run.kind)
             return
         # Callers return once, to another entry, as a new request.
-        run.returned = True
+        run.is_retry = True
         run.tried.clear()
         run.entry = self._rng.randrange(len(self._desks))
         self._at(now_ms + comeback.soon_s(self._rng) * 1000, self._arrive, run)
@@ -186,6 +188,6 @@
             return False
         if not self._desks[run.entry].budget.take(now_ms / 1000):
             return False
-        self.again += 1
+        self.retries += 1
         self._send(now_ms, run)
         return True
--- a/gorsefall/emulator/compare.py
+++ b/gorsefall/emulator/compare.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from gorsefall.emulator import play
+from gorsefall.emulator import simulation
 from gorsefall.emulator import policies
 
 
@@ -30,22 +30,22 @@
     for site in sites:
         for name in names:
             for seed in range(seeds):
-                got = play.play(site,
-                                policy=policies.POLICIES[name],
-                                seconds=seconds,
-                                seed=seed)
+                got = simulation.simulate(site,
+                                          policy=policies.POLICIES[name],
+                                          seconds=seconds,
+                                          seed=seed)
                 yield Row(site.name, name, seed, got.worth, got.on_time,
                           got.refused)
 
 
-def line(row):
+def format_row(row):
     """Returns a table line for a ``Row``."""
     shares = '  '.join(f'{k} {v:.3f}' for k, v in sorted(row.on_time.items()))
     return (f'{row.site:12} {row.policy:13} seed {row.seed}  {shares}  '
             f'worth {row.worth:.3f}')
 
 
-def draw(found, path):
+def plot(found, path):
     """Draws the worth of each site and policy, one dot a seed, to ``path``."""
     import matplotlib
     matplotlib.use('Agg')
--- a/gorsefall/emulator/crashing.py
+++ b/gorsefall/emulator/crashing.py
@@ -19,19 +19,19 @@
 from gorsefall.relay import model
 from gorsefall.relay import peers
 
-WAY_S = 0.002
+ONE_WAY_DELAY_S = 0.002
 """Time of a message, or of a look at a replica, s."""
 
-CRASH_S = 0.08
+CRASH_DELAY_S = 0.08
 """Time from the start of a guilty run to its replica's end, s."""
 
-BACK_S = 3.0
+REPLICA_RESTART_S = 3.0
 """Time until a replica that crashed is back as a new start, s."""
 
-TRIES = 2
+MAX_ATTEMPTS = 2
 """Replicas that one attempt of a caller is sent to."""
 
-RETURN_S = 0.3
+CALLER_RETRY_DELAY_S = 0.3
 """Pause after which a caller comes back after a failure, once, s."""
 
 
@@ -62,7 +62,7 @@
     def look(self, replica, done):
         """See ``ends.Ends``."""
         verdict = ends.Verdict.ALIVE if replica.up else ends.Verdict.ENDED
-        self.site.loop.later(WAY_S, lambda: done(verdict))
+        self.site.loop.later(ONE_WAY_DELAY_S, lambda: done(verdict))
 
     def send_all(self, message):
         """See ``peers.Peers``."""
@@ -81,7 +81,7 @@
             self._send(lambda entry: entry.crashes.take(answer),
                        self.site.entries[host])
 
-    def speak(self):
+    def broadcast_status(self):
         """Tells all others what was seen here."""
         status = membership.Status(f'e{self.number}',
                                    1,
@@ -95,84 +95,85 @@
                     lambda entry: entry.crashes.heard(status, self.number),
                     other)
         spread = self.site.rng.uniform(*peers.SPREAD)
-        self.site.loop.later(self.site.heartbeat_s * spread, self.speak)
+        self.site.loop.later(self.site.heartbeat_s * spread,
+                             self.broadcast_status)
 
     def _send(self, arrive, other):
         if self.site.rng.random() >= self.site.lost:
-            self.site.loop.later(WAY_S, lambda: arrive(other))
+            self.site.loop.later(ONE_WAY_DELAY_S, lambda: arrive(other))
 
 
-class Exchange:
+class CallerRequest:
     """One attempt of a caller at an entry."""
 
-    def __init__(self, site, digest, run_s, *, guilty, back=True):
+    def __init__(self, site, digest, run_s, *, poison, back=True):
         self._site = site
         self._digest = digest
         self._run_s = run_s
-        self._guilty = guilty
+        self._poison = poison
         self._back = back
         self._entry = site.rng.choice(site.entries)
-        self._left = TRIES
+        self._left = MAX_ATTEMPTS
         self._sent_at = 0.0
-        self.go_on()
+        self.dispatch()
 
-    def go_on(self):
+    def dispatch(self):
         """Sends it to a replica, unless it is blocked."""
         known = self._entry.crashes
         try:
             if not known.begin(self._digest, self):
                 return
-        except errors.CrashesReplicasError:
+        except errors.PoisonRequestError:
             self._end('refused')
             return
         self._left -= 1
-        replica = self._site.rng.choice(self._site.sound())
+        replica = self._site.rng.choice(self._site.live_replicas())
         self._sent_at = self._site.loop.now
         replica.runs.add(self)
-        if self._guilty:
-            self._site.guilty_runs.append(self._sent_at)
-        wait_s = CRASH_S if self._guilty else self._run_s
+        if self._poison:
+            self._site.poison_runs.append(self._sent_at)
+        wait_s = CRASH_DELAY_S if self._poison else self._run_s
         self._site.loop.later(wait_s, lambda: self._over(replica))
 
     def _over(self, replica):
         if self not in replica.runs:
             return
-        if self._guilty:
+        if self._poison:
             self._site.crash(replica)
             return
         replica.runs.discard(self)
         self._entry.crashes.ran(self._digest)
         self._end('served')
 
-    def broke(self, replica):
+    def on_replica_exit(self, replica):
         """Called when its replica ended."""
         known = self._entry.crashes
         run = crashes.Run(self._digest,
                           self._sent_at,
                           None,
-                          again=self._left < TRIES - 1)
+                          again=self._left < MAX_ATTEMPTS - 1)
         known.broke(replica, run, self._after)
 
     def _after(self):
         held = self._entry.crashes.suspects.held(self._digest)
         if self._left and not held:
-            self.go_on()
+            self.dispatch()
         else:
             self._end('failed')
 
     def _end(self, outcome):
         self._entry.crashes.ended(self._digest, self)
         if outcome == 'failed' and self._back:
-            self._site.loop.later(RETURN_S, self._return)
-        elif not self._guilty:
-            self._site.good[outcome] += 1
+            self._site.loop.later(CALLER_RETRY_DELAY_S, self._return)
+        elif not self._poison:
+            self._site.good_outcomes[outcome] += 1
 
     def _return(self):
-        Exchange(self._site,
-                 self._digest,
-                 self._run_s,
-                 guilty=self._guilty,
-                 back=False)
+        CallerRequest(self._site,
+                      self._digest,
+                      self._run_s,
+                      poison=self._poison,
+                      back=False)
 
 
 class Site:
@@ -180,8 +181,8 @@
 
     Attributes:
         replicas: ``id -> Replica``.
-        guilty_runs: When runs of guilty requests began, s.
-        good: How good requests ended.
+        poison_runs: When runs of guilty requests began, s.
+        good_outcomes: How good requests ended.
     """
 
     def __init__(self, entries, replicas, seed, *, lost=0.02):
@@ -191,14 +192,15 @@
         self.heartbeat_s = max(peers.HEARTBEAT_S,
                                entries / peers.MESSAGES_PER_S)
         self.replicas = {}
-        self.guilty_runs = []
-        self.good = collections.Counter()
+        self.poison_runs = []
+        self.good_outcomes = collections.Counter()
         self._starts = itertools.count()
         for _ in range(replicas):
             self._add()
         self.entries = [Entry(self, i) for i in range(entries)]
         for entry in self.entries:
-            self.loop.later(self.rng.uniform(0, self.heartbeat_s), entry.speak)
+            self.loop.later(self.rng.uniform(0, self.heartbeat_s),
+                            entry.broadcast_status)
 
     def _add(self):
         name = f'r{next(self._starts)}'
@@ -211,7 +213,7 @@
         """See ``fleet.Fleet``."""
         replica.ended_at = replica.ended_at or at
 
-    def sound(self):
+    def live_replicas(self):
         """Returns the replicas that are up."""
         return [r for r in self.replicas.values() if r.up]
 
@@ -219,14 +221,14 @@
         """Ends a replica, with all that runs there."""
         replica.up = False
         runs, replica.runs = replica.runs, set()
-        self.loop.later(BACK_S, lambda: self._back(replica))
+        self.loop.later(REPLICA_RESTART_S, lambda: self._back(replica))
         for run in sorted(runs, key=id):
-            run.broke(replica)
+            run.on_replica_exit(replica)
 
     def _back(self, replica):
         del self.replicas[replica.record.id]
         self._add()
 
-    def ask(self, digest, run_s, *, guilty=False):
+    def submit(self, digest, run_s, *, poison=False):
         """A caller's request comes to an entry."""
-        Exchange(self, digest, run_s, guilty=guilty)
+        CallerRequest(self, digest, run_s, poison=poison)
--- a/gorsefall/emulator/engine.py
+++ b/gorsefall/emulator/engine.py
@@ -7,7 +7,7 @@
 from gorsefall.policy import knowledge
 from gorsefall.policy import placement
 
-RESENT_MS = 250.0
+RETRANSMIT_DELAY_MS = 250.0
 """How much later what a link lost arrives, ms: the shortest time-out of the
 usual TCP implementations is 200, and the next try may be lost too."""
 
@@ -17,47 +17,47 @@
     """One request of a caller, and how far it is.
 
     Attributes:
-        kind: Its ``site.Kind``.
+        kind: Its ``site.RequestKind``.
         at_ms: When its caller first sent it.
         entry: Number of the entry that has it.
         session: Shared part its prompt goes on from.
-        own: Tokens of its own part.
+        own_tokens: Tokens of its own part.
         tokens_out: Tokens it writes.
-        to_read: Tokens that its engine has yet to read.
-        written: Tokens written.
-        heard_ms: When its caller last heard of it.
+        prefill_left: Tokens that its engine has yet to read.
+        decoded: Tokens written.
+        last_contact_ms: When its caller last heard of it.
         last_event_ms: When its last event came.
         sent_ms: When its entry sent it.
         target: The entry's ``knowledge.Target`` of its engine.
         choice: The ``placement.Choice`` that its entry made.
         on_time: Whether it may still be on time.
-        returned: Whether it was refused once and came back.
+        is_retry: Whether it was refused once and came back.
     """
-    kind: sites.Kind
+    kind: sites.RequestKind
     at_ms: float
     entry: int
     session: str
-    own: int
+    own_tokens: int
     tokens_out: int
-    to_read: int = 0
-    written: int = 0
-    heard_ms: float = 0.0
+    prefill_left: int = 0
+    decoded: int = 0
+    last_contact_ms: float = 0.0
     last_event_ms: float = 0.0
     sent_ms: float = 0.0
     target: knowledge.Target | None = None
     choice: placement.Choice | None = None
     on_time: bool = True
-    returned: bool = False
+    is_retry: bool = False
 
     @property
     def prompt(self):
         """Tokens of its whole prompt."""
-        return self.own + self.kind.shared
+        return self.own_tokens + self.kind.shared
 
-    def left(self, now_ms):
+    def abandoned(self, now_ms):
         """Whether its caller has given up."""
         return (now_ms - self.at_ms > self.kind.patience_ms or
-                now_ms - self.heard_ms > self.kind.silence_ms)
+                now_ms - self.last_contact_ms > self.kind.silence_ms)
 
 
 class Engine:
@@ -66,7 +66,7 @@
     Attributes:
         name: Its name.
         up: Whether it runs.
-        times: How many times slower than its data sheet it is.
+        slowdown: How many times slower than its data sheet it is.
     """
 
     def __init__(self, name, sheet, speed, rng, loss=0.0):
@@ -74,7 +74,7 @@
 
         Args:
             name: Its name.
-            sheet: The ``site.Engines``.
+            sheet: The ``site.EngineSpec``.
             speed: Times that its steps take.
             rng: Source of the losses.
             loss: Part of its events that the link loses.
@@ -85,7 +85,7 @@
         self._rng = rng
         self._loss = loss
         self.up = True
-        self.times = 1.0
+        self.slowdown = 1.0
         self._waiting = []
         self._reading = collections.deque()
         self._writing = []
@@ -121,7 +121,7 @@
         """Whether there is work for another step."""
         return bool(self._waiting or self._reading or self._writing)
 
-    def tell(self, target, now_ms):
+    def report_load(self, target, now_ms):
         """Reports its load, as an answer's head may do."""
         if self._sheet.tells_load:
             unread = len(self._waiting) + max(0, len(self._reading) - 1)
@@ -135,11 +135,11 @@
         A prompt that is being read goes on first; behind it the more urgent
         go first, as they do while they wait.
         """
-        left = self._sheet.chunk - sum(r.to_read for r in self._reading)
+        left = self._sheet.chunk - sum(r.prefill_left for r in self._reading)
         while left > 0 and self._waiting and self.running < self._sheet.slots:
             req = self._waiting.pop(0)
-            req.to_read = req.own + self._missing(req)
-            left -= req.to_read
+            req.prefill_left = req.own_tokens + self._missing(req)
+            left -= req.prefill_left
             self._reading.append(req)
 
     def _missing(self, req):
@@ -151,7 +151,7 @@
             # Taken as if the engine read for as long as the transfer lasts.
             return int(req.kind.shared * self._sheet.fetch_ms *
                        self._sheet.tokens_per_ms)
-        held = sum(r.own + r.written for r in self._writing)
+        held = sum(r.own_tokens + r.decoded for r in self._writing)
         while (len(self._cached) > 1 and
                held + sum(self._cached.values()) > self._sheet.kv_tokens):
             self._cached.popitem(last=False)
@@ -165,10 +165,10 @@
         sheet = self._sheet
         step = sheet.step_ms + sheet.step_ms_per_request * self.running
         for req, chunk in self._chunks():
-            before = req.prompt - req.to_read
+            before = req.prompt - req.prefill_left
             step += (chunk / sheet.tokens_per_ms +
                      sheet.pairs_ms_per_m * chunk * (before + chunk / 2) / 1e6)
-        return step * self._speed * self.times
+        return step * self._speed * self.slowdown
 
     def _chunks(self):
         """Gives ``(request, tokens)`` of what the next step reads."""
@@ -176,7 +176,7 @@
         for req in self._reading:
             if not left:
                 return
-            chunk = min(left, req.to_read)
+            chunk = min(left, req.prefill_left)
             left -= chunk
             yield req, chunk
 
@@ -186,19 +186,19 @@
         for req in self._writing:
             self._write(req, now_ms)
         for req, chunk in list(self._chunks()):
-            req.to_read -= chunk
-        while self._reading and self._reading[0].to_read <= 0:
+            req.prefill_left -= chunk
+        while self._reading and self._reading[0].prefill_left <= 0:
             req = self._reading.popleft()
             self._writing.append(req)
             self._first(req, now_ms)
-        done = [r for r in self._writing if r.written >= r.tokens_out]
-        self._writing = [r for r in self._writing if r.written < r.tokens_out]
+        done = [r for r in self._writing if r.decoded >= r.tokens_out]
+        self._writing = [r for r in self._writing if r.decoded < r.tokens_out]
         return done + lost
 
     def _give_up(self, now_ms):
         lost = [
             r for r in (*self._waiting, *self._reading, *self._writing)
-            if r.left(now_ms)
+            if r.abandoned(now_ms)
         ]
         for req in lost:
             req.on_time = False
@@ -208,25 +208,25 @@
         return lost
 
     def _first(self, req, now_ms):
-        req.written = 1
-        req.heard_ms = req.last_event_ms = now_ms
+        req.decoded = 1
+        req.last_contact_ms = req.last_event_ms = now_ms
         req.on_time = now_ms - req.at_ms <= req.kind.aim_ms
-        self.tell(req.target, now_ms)
+        self.report_load(req.target, now_ms)
         self._begun.append(req)
 
-    def begun(self):
+    def take_started(self):
         """Returns the requests whose first event came since the last call."""
         begun, self._begun = self._begun, []
         return begun
 
     def _write(self, req, now_ms):
-        req.written += 1
-        if req.written % self._sheet.stride:
+        req.decoded += 1
+        if req.decoded % self._sheet.stride:
             return
         lost = self._loss > 0 and self._rng.random() < self._loss
-        gap_ms = now_ms - req.last_event_ms + RESENT_MS * lost
+        gap_ms = now_ms - req.last_event_ms + RETRANSMIT_DELAY_MS * lost
         if gap_ms > req.kind.gap_ms:
             req.on_time = False
         req.target.link.came(1, now_ms / 1000, held_up=lost)
         req.target.pause.saw(gap_ms)
-        req.last_event_ms = req.heard_ms = now_ms
+        req.last_event_ms = req.last_contact_ms = now_ms
--- a/gorsefall/emulator/entries.py
+++ b/gorsefall/emulator/entries.py
@@ -42,7 +42,7 @@
         return self.view.status(0, self._seq, self.targets.values(),
                                 now_ms / 1000)
 
-    def hear(self, status, now_ms):
+    def receive_status(self, status, now_ms):
         """Takes in what another entry tells."""
         self.view.heard(status.name, status, now_ms / 1000)
 
@@ -53,8 +53,9 @@
         self._asked += 1
         self.service.unseen.arrivals = self._others(now)
         return policy(
-            policies.Ask(list(self.targets.values()), _want(req, limit_ms),
-                         self.service, now, rng))
+            policies.PlacementRequest(list(self.targets.values()),
+                                      _want(req, limit_ms), self.service, now,
+                                      rng))
 
     def _others(self, now):
         """Returns the ``unseen.Arrivals`` of the other entries."""
@@ -62,26 +63,26 @@
         return unseen.Arrivals(per_s=others * self._asked / max(1.0, now),
                                age_s=self._site.exchange_ms / 2000)
 
-    def sent(self, req, choice, now_ms):
+    def record_sent(self, req, choice, now_ms):
         """Notes that ``req`` went out."""
         req.target, req.choice, req.sent_ms = choice.target, choice, now_ms
-        req.heard_ms = now_ms
+        req.last_contact_ms = now_ms
         self.view.prompt_sent(req.target, _want(req).parts, now_ms / 1000)
         req.target.sent(choice.tokens, writes=_want(req).writes)
 
-    def began(self, req, now_ms):
+    def record_first_event(self, req, now_ms):
         """Notes the first event of ``req``."""
         req.target.began(req.choice.tokens)
         self.service.speed.began(now_ms - req.sent_ms,
                                  req.choice.ahead + req.choice.tokens,
                                  req.choice.slowness)
 
-    def ended(self, req, now_ms):
+    def record_end(self, req, now_ms):
         """Notes that ``req`` is no longer at its engine."""
-        if not req.written:
+        if not req.decoded:
             req.target.began(req.choice.tokens)
         req.target.ended(writes=_want(req).writes)
-        if req.written >= req.tokens_out:
+        if req.decoded >= req.tokens_out:
             self.service.speed.stay.ended(now_ms - req.sent_ms)
 
 
--- a/gorsefall/emulator/plain.py
+++ b/gorsefall/emulator/plain.py
@@ -9,38 +9,38 @@
 
 
 @dataclasses.dataclass(eq=False)
-class Run:
+class PendingCall:
     """One call of a caller, and where it is.
 
     Attributes:
-        kind: Its ``site.Call``.
+        kind: Its ``site.CallKind``.
         at_ms: When its caller first sent it.
         entry: Number of the entry that has it.
         work_ms: What its answer takes at a replica of usual speed.
-        hopeless: Whether it fails at every replica.
+        always_fails: Whether it fails at every replica.
         tried: Names of the replicas that it was sent to.
         runs: How often a replica began it.
         target: The entry's ``knowledge.Target`` of its replica.
         sent_ms: When its entry last sent it.
-        returned: Whether it was refused once and came back.
+        is_retry: Whether it was refused once and came back.
     """
-    kind: sites.Call
+    kind: sites.CallKind
     at_ms: float
     entry: int
     work_ms: float
-    hopeless: bool
+    always_fails: bool
     tried: set = dataclasses.field(default_factory=set)
     runs: int = 0
     target: knowledge.Target | None = None
     sent_ms: float = 0.0
-    returned: bool = False
+    is_retry: bool = False
 
-    def left(self, now_ms):
+    def abandoned(self, now_ms):
         """Whether its caller has given up."""
         return now_ms - self.at_ms > self.kind.patience_ms
 
 
-class Offer(enum.Enum):
+class Admission(enum.Enum):
     """What a replica does with a call."""
     RUNS = 'runs'
     WAITS = 'waits'
@@ -52,30 +52,30 @@
 
     Attributes:
         name: Its name.
-        times: How many times longer its work takes.
-        failing: Part of its calls that it fails.
+        slowdown: How many times longer its work takes.
+        failure_rate: Part of its calls that it fails.
         running: Calls that have a slot.
     """
 
-    def __init__(self, name, sheet, times, failing):
+    def __init__(self, name, sheet, slowdown, failure_rate):
         self.name = name
-        self.times = times
-        self.failing = failing
+        self.slowdown = slowdown
+        self.failure_rate = failure_rate
         self.running = 0
         self._sheet = sheet
         self._waiting = collections.deque()
 
-    def offer(self, run):
+    def admit(self, run):
         """Takes a call, lets it wait, or refuses it."""
         if self.running < self._sheet.slots:
             self.running += 1
-            return Offer.RUNS
+            return Admission.RUNS
         if len(self._waiting) < self._sheet.queue:
             self._waiting.append(run)
-            return Offer.WAITS
-        return Offer.REFUSED
+            return Admission.WAITS
+        return Admission.REFUSED
 
-    def next(self, now_ms):
+    def release_slot(self, now_ms):
         """Frees a slot.
 
         Returns:
@@ -84,13 +84,13 @@
         gone = []
         while self._waiting:
             run = self._waiting.popleft()
-            if not run.left(now_ms):
+            if not run.abandoned(now_ms):
                 return run, gone
             gone.append(run)
         self.running -= 1
         return None, gone
 
-    def tell(self, target, now_ms):
+    def report_load(self, target, now_ms):
         """Reports its load, as an answer's head may do."""
         if self._sheet.tells_load:
             target.report(self.running, len(self._waiting), now_ms / 1000)
--- a/gorsefall/emulator/policies.py
+++ b/gorsefall/emulator/policies.py
@@ -8,13 +8,13 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Refused:
+class Refusal:
     """A request is refused; its caller may return after ``return_ms``."""
     return_ms: float
 
 
 @dataclasses.dataclass(frozen=True)
-class Ask:
+class PlacementRequest:
     """What a policy decides on.
 
     Attributes:
@@ -35,7 +35,7 @@
     """The product's own way."""
     choice = unrefused(ask)
     wait_s = overload.refuse_for_s(choice, ask.want.limit_ms, ask.rng)
-    return Refused(wait_s * 1000) if wait_s else choice
+    return Refusal(wait_s * 1000) if wait_s else choice
 
 
 def unrefused(ask):
--- a/gorsefall/emulator/play.py
+++ b/gorsefall/emulator/simulation.py
@@ -36,16 +36,16 @@
         self._refused = collections.Counter()
         self._owed = self._earned = 0.0
 
-    def asked(self, kind):
+    def count_request(self, kind):
         """Notes a request of ``kind``."""
         self._asked[kind.name] += 1
         self._owed += kind.worth
 
-    def refused(self, kind):
+    def count_refused(self, kind):
         """Notes a request that was refused for good."""
         self._refused[kind.name] += 1
 
-    def served(self, kind, *, on_time):
+    def count_served(self, kind, *, on_time):
         """Notes a whole answer."""
         self._on_time[kind.name] += on_time
         self._earned += kind.worth if on_time else kind.late_worth
@@ -72,11 +72,11 @@
                 at_ms=at * 1000,
                 entry=rng.randrange(site.entries),
                 session=f'{kind.name}-{rng.randrange(kind.sessions)}',
-                own=max(16, int(kind.own * spread)),
+                own_tokens=max(16, int(kind.own * spread)),
                 tokens_out=site.engines.stride * events)
 
 
-class Play:
+class Simulation:
     """One play of a site; ``run`` it once.
 
     Attributes:
@@ -101,8 +101,8 @@
         ]
         self._ranks = site.ranks()
         self._tally = Tally()
-        self.calls = calls.Calls(site, policy, self._tally, self._at,
-                                 random.Random(f'calls {seed}'))
+        self.calls = calls.CallSimulation(site, policy, self._tally, self._at,
+                                          random.Random(f'calls {seed}'))
         self._stepping = set()
         self._count = itertools.count()
         self._todo = []
@@ -114,7 +114,7 @@
         """Plays ``seconds`` of load to its end; returns the ``Result``."""
         for req in _arrivals(self._site, seconds, self._rng):
             self._at(req.at_ms, self._arrive, req)
-        self.calls.begin(seconds)
+        self.calls.schedule(seconds)
         for fault in self._site.faults:
             self._at(fault.at_s * 1000, self._strike, fault)
         if self._site.exchange_ms:
@@ -127,15 +127,15 @@
         return self._tally.result()
 
     def _arrive(self, now_ms, req):
-        if not req.returned:
-            self._tally.asked(req.kind)
+        if not req.is_retry:
+            self._tally.count_request(req.kind)
         entry = self._entries[req.entry]
         limit_ms = self._ranks.limit_ms(req.kind.priority, req.kind.aim_ms)
         choice = entry.decide(req, self._policy, limit_ms, now_ms, self._rng)
-        if isinstance(choice, policies.Refused):
+        if isinstance(choice, policies.Refusal):
             self._refuse(now_ms, req, choice)
             return
-        entry.sent(req, choice, now_ms)
+        entry.record_sent(req, choice, now_ms)
         engine = self._farm[choice.target.name]
         if engine.up:
             engine.admit(req)
@@ -144,11 +144,11 @@
             self._lose(now_ms, req)
 
     def _refuse(self, now_ms, req, refused):
-        if req.returned:
-            self._tally.refused(req.kind)
+        if req.is_retry:
+            self._tally.count_refused(req.kind)
             return
         # Callers return once, to another entry.
-        req.returned = True
+        req.is_retry = True
         req.entry = self._rng.randrange(len(self._entries))
         self._at(now_ms + refused.return_ms, self._arrive, req)
 
@@ -157,9 +157,9 @@
         self._ended(now_ms, req)
 
     def _ended(self, now_ms, req):
-        self._entries[req.entry].ended(req, now_ms)
-        if req.written >= req.tokens_out:
-            self._tally.served(req.kind, on_time=req.on_time)
+        self._entries[req.entry].record_end(req, now_ms)
+        if req.decoded >= req.tokens_out:
+            self._tally.count_served(req.kind, on_time=req.on_time)
 
     def _go_on(self, now_ms, engine):
         if engine.busy and engine.name not in self._stepping:
@@ -171,18 +171,18 @@
         if not engine.up:
             return
         for req in engine.step(now_ms):
-            if req.written >= req.tokens_out:
+            if req.decoded >= req.tokens_out:
                 req.target.succeeded()
             self._ended(now_ms, req)
-        for req in engine.begun():
-            self._entries[req.entry].began(req, now_ms)
+        for req in engine.take_started():
+            self._entries[req.entry].record_first_event(req, now_ms)
         self._go_on(now_ms, engine)
 
     def _strike(self, now_ms, fault):
         engine = list(self._farm.values())[fault.engine]
         back_ms = now_ms + fault.for_s * 1000
-        if fault.what is sites.Trouble.SLOW:
-            engine.times = fault.times
+        if fault.what is sites.FaultKind.SLOW:
+            engine.slowdown = fault.times
             self._at(back_ms, self._quicken, engine)
             return
         for req in engine.crash():
@@ -191,7 +191,7 @@
 
     def _quicken(self, now_ms, engine):
         del now_ms
-        engine.times = 1.0
+        engine.slowdown = 1.0
 
     def _revive(self, now_ms, engine):
         del now_ms
@@ -201,13 +201,13 @@
         status = entry.status(now_ms)
         for other in self._entries:
             if other is not entry:
-                other.hear(status, now_ms)
+                other.receive_status(status, now_ms)
         if now_ms < until_ms:
             self._at(now_ms + self._site.exchange_ms, self._speak, entry,
                      until_ms)
 
 
-def play(site, *, policy=policies.placed, seconds=20.0, seed=1, loss=None):
+def simulate(site, *, policy=policies.placed, seconds=20.0, seed=1, loss=None):
     """Plays a load; returns its ``Result``.
 
     Args:
@@ -217,4 +217,4 @@
         seed: Seed of all draws.
         loss: ``engine name -> part of its events that links lose``.
     """
-    return Play(site, policy, seed, loss or {}).run(seconds)
+    return Simulation(site, policy, seed, loss or {}).run(seconds)
--- a/gorsefall/emulator/site.py
+++ b/gorsefall/emulator/site.py
@@ -10,10 +10,10 @@
 from gorsefall.policy import overload
 
 
-class Kind(msgspec.Struct,
-           frozen=True,
-           kw_only=True,
-           forbid_unknown_fields=True):
+class RequestKind(msgspec.Struct,
+                  frozen=True,
+                  kw_only=True,
+                  forbid_unknown_fields=True):
     """A kind of request.
 
     Attributes:
@@ -51,10 +51,10 @@
         return max(2000.0, 4 * self.aim_ms, 8 * self.gap_ms)
 
 
-class Engines(msgspec.Struct,
-              frozen=True,
-              kw_only=True,
-              forbid_unknown_fields=True):
+class EngineSpec(msgspec.Struct,
+                 frozen=True,
+                 kw_only=True,
+                 forbid_unknown_fields=True):
     """The engines' data sheet.
 
     Attributes:
@@ -88,10 +88,10 @@
     fetch_ms: float = 0.0
 
 
-class Call(msgspec.Struct,
-           frozen=True,
-           kw_only=True,
-           forbid_unknown_fields=True):
+class CallKind(msgspec.Struct,
+               frozen=True,
+               kw_only=True,
+               forbid_unknown_fields=True):
     """A kind of call to the plain replicas.
 
     Attributes:
@@ -120,10 +120,10 @@
     late_worth: float = 0.3
 
 
-class Plain(msgspec.Struct,
-            frozen=True,
-            kw_only=True,
-            forbid_unknown_fields=True):
+class PlainSpec(msgspec.Struct,
+                frozen=True,
+                kw_only=True,
+                forbid_unknown_fields=True):
     """The plain replicas' data sheet.
 
     Attributes:
@@ -146,7 +146,7 @@
     retries: budget.Allowance = budget.Allowance(ratio=0.2, slack=50.0)
 
 
-class Trouble(enum.Enum):
+class FaultKind(enum.Enum):
     """What happens to an engine."""
     CRASH = 'crash'
     SLOW = 'slow'
@@ -159,13 +159,13 @@
     """One trouble.
 
     Attributes:
-        what: The ``Trouble``.
+        what: The ``FaultKind``.
         engine: Number of the engine that has it.
         at_s: When, s.
         for_s: How long, s; a crashed engine is back empty after it.
-        times: How many times slower, for ``Trouble.SLOW``.
+        times: How many times slower, for ``FaultKind.SLOW``.
     """
-    what: Trouble
+    what: FaultKind
     engine: int
     at_s: float
     for_s: float = 1000.0
@@ -180,25 +180,25 @@
 
     Attributes:
         name: Its name.
-        kinds: Its ``Kind`` objects.
-        calls: Its ``Call`` objects.
-        engines: Its ``Engines``.
-        plain: Its ``Plain`` replicas.
+        kinds: Its ``RequestKind`` objects.
+        calls: Its ``CallKind`` objects.
+        engines: Its ``EngineSpec``.
+        plain: Its ``PlainSpec``.
         entries: Entries that place requests.
         exchange_ms: How long entries go without telling each other of their
             work, ms; 0 for entries that tell nothing.
         faults: Its ``Fault`` objects.
     """
     name: str
-    kinds: list[Kind] = []
-    calls: list[Call] = []
-    engines: Engines = Engines()
-    plain: Plain = Plain()
+    kinds: list[RequestKind] = []
+    calls: list[CallKind] = []
+    engines: EngineSpec = EngineSpec()
+    plain: PlainSpec = PlainSpec()
     entries: int = 6
     exchange_ms: float = 100.0
     faults: list[Fault] = []
 
-    def busier(self, **times):
+    def with_rates_scaled(self, **times):
         """Returns the site with the rates of the named kinds so many times."""
         kinds = [
             msgspec.structs.replace(k, per_s=k.per_s * times.get(k.name, 1.0))
@@ -206,7 +206,7 @@
         ]
         return msgspec.structs.replace(self, kinds=kinds)
 
-    def changed(self, **fields):
+    def with_fields(self, **fields):
         """Returns the site with other fields; those of ``Engines`` too."""
         own = {k: fields.pop(k) for k in list(fields) if hasattr(Site, k)}
         engines = msgspec.structs.replace(self.engines, **fields)
@@ -242,7 +242,7 @@
     return settingsfile.load(path, Site, _problems)
 
 
-def drawn(seed):
+def random_site(seed):
     """Returns a site drawn at random: sizes, rates, speeds, targets.
 
     The ranges span the load sheets of today by a factor of two either way.
@@ -253,42 +253,42 @@
         return value * factor**rng.uniform(-1, 1)
 
     count = rng.choice([3, 5, 6, 9, 14])
-    engines = Engines(count=count,
-                      slots=rng.choice([12, 24, 64]),
-                      speeds=(1.0, 1.0, rng.choice([1.0, 1.3, 1.6])),
-                      step_ms=around(4.0),
-                      step_ms_per_request=around(0.05),
-                      pairs_ms_per_m=around(0.3),
-                      tokens_per_ms=around(50.0),
-                      stride=rng.choice([3, 5, 6]),
-                      kv_tokens=int(around(300000)),
-                      tells_load=rng.random() < 0.5)
-    reader = Kind(name='reader',
-                  per_s=around(2.4 * count),
-                  shared=int(around(6000)),
-                  own=int(around(2800)),
-                  spread=rng.uniform(0.7, 1.3),
-                  events=rng.randint(4, 18),
-                  sessions=int(around(20 * count)),
-                  aim_ms=around(800.0),
-                  gap_ms=around(500.0),
-                  patience_ms=around(5000.0),
-                  worth=around(2.0),
-                  late_worth=0.5,
-                  priority=1)
-    writer = Kind(name='writer',
-                  per_s=around(1.6 * count),
-                  shared=int(around(180)),
-                  own=int(around(600)),
-                  spread=rng.uniform(0.7, 1.1),
-                  events=rng.randint(40, 100),
-                  sessions=int(around(20 * count)),
-                  aim_ms=around(450.0),
-                  gap_ms=around(230.0, 1.3),
-                  patience_ms=15000.0,
-                  worth=around(2.5),
-                  late_worth=0.2,
-                  priority=0)
+    engines = EngineSpec(count=count,
+                         slots=rng.choice([12, 24, 64]),
+                         speeds=(1.0, 1.0, rng.choice([1.0, 1.3, 1.6])),
+                         step_ms=around(4.0),
+                         step_ms_per_request=around(0.05),
+                         pairs_ms_per_m=around(0.3),
+                         tokens_per_ms=around(50.0),
+                         stride=rng.choice([3, 5, 6]),
+                         kv_tokens=int(around(300000)),
+                         tells_load=rng.random() < 0.5)
+    reader = RequestKind(name='reader',
+                         per_s=around(2.4 * count),
+                         shared=int(around(6000)),
+                         own=int(around(2800)),
+                         spread=rng.uniform(0.7, 1.3),
+                         events=rng.randint(4, 18),
+                         sessions=int(around(20 * count)),
+                         aim_ms=around(800.0),
+                         gap_ms=around(500.0),
+                         patience_ms=around(5000.0),
+                         worth=around(2.0),
+                         late_worth=0.5,
+                         priority=1)
+    writer = RequestKind(name='writer',
+                         per_s=around(1.6 * count),
+                         shared=int(around(180)),
+                         own=int(around(600)),
+                         spread=rng.uniform(0.7, 1.1),
+                         events=rng.randint(40, 100),
+                         sessions=int(around(20 * count)),
+                         aim_ms=around(450.0),
+                         gap_ms=around(230.0, 1.3),
+                         patience_ms=15000.0,
+                         worth=around(2.5),
+                         late_worth=0.2,
+                         priority=0)
     return Site(name=f'drawn-{seed}',
                 kinds=[reader, writer],
                 engines=engines,
--- a/gorsefall/entry/app.py
+++ b/gorsefall/entry/app.py
@@ -91,7 +91,7 @@
             errors.UnknownCustomerError: No class has this owner.
             errors.UnknownClassError: The owner has no class of this name.
         """
-        state = directory.known(self.catalogue.in_force)
+        state = directory.require_loaded(self.catalogue.in_force)
         klass = state.lookup(customer, name)
         if klass is not None:
             return klass
@@ -158,7 +158,7 @@
                                   scopes=self._scopes(ask.klass))
         adm = self.admission(ask.klass.pool)
         verdict, shed = adm.arrive(ticket, now)
-        later = replies.Later(self, res, closing=self.draining)
+        later = replies.DeferredReply(self, res, closing=self.draining)
         job = dispatch.job(ask, self, ticket, later)
         self.jobs[ask.rid] = job
         self._by_sock[req.sock] = ask.rid
@@ -275,7 +275,7 @@
                                             for t in adm.waiting()))
                 for pool, adm in self._admissions.items()
             },
-            'running': self.under_way,
+            'running': self.in_flight,
             'ledger': {
                 'keys': len(self.ledger.state.claims),
                 'offset': self.ledger.state.offset,
@@ -287,7 +287,7 @@
     # -- graceful shutdown -----------------------------------------------------
 
     @property
-    def under_way(self):
+    def in_flight(self):
         """See ``daemon.Daemon``."""
         return len(self.jobs)
 
--- a/gorsefall/entry/jobs.py
+++ b/gorsefall/entry/jobs.py
@@ -80,7 +80,7 @@
     @property
     def digest(self):
         """See ``Ask.digest``."""
-        return claims.digest(self.model, [self.prompt, self.max_tokens])
+        return claims.call_digest(self.model, [self.prompt, self.max_tokens])
 
 
 class ChatAsk(TextAsk):
@@ -105,7 +105,7 @@
     @property
     def digest(self):
         """See ``Ask.digest``."""
-        return claims.digest(self.op, self.args)
+        return claims.call_digest(self.op, self.args)
 
 
 def _ms(since, until):
@@ -118,7 +118,7 @@
     return ids.RequestId('req-' + uuid.uuid4().hex[:16])
 
 
-class Job(serving.Serving):
+class Job(serving.ActiveRequest):
     """Runs one ``Ask`` through a pool's replicas; owns its reply.
 
     Attributes:
@@ -139,7 +139,7 @@
         self.ticket = ticket
         self.reply = reply
         self.started_at = None
-        self.served_at = self.arrived
+        self.served_at = self.arrived_at
         self.tokens = 0
         self.wasted = 0
         self.rep = None
@@ -159,13 +159,13 @@
         """
         self.started_at = self.served_at = time.monotonic()
         if self.ask.repeatable or not self.ask.key:
-            self.go_on()
+            self.dispatch()
             return
         self.app.ledger.claim(self.ask.key, self.ask.rid, self.ask.digest,
                               self._on_claim)
 
     def _on_claim(self, fence, exc):
-        if isinstance(exc, errors.AlreadyAnsweredError):
+        if isinstance(exc, errors.DuplicateRequestError):
             self._replay(exc)
         elif exc is not None:
             self.fail(exc)
@@ -176,7 +176,7 @@
         else:
             self.fence = fence
             self._claimed = True
-            self.go_on()
+            self.dispatch()
 
     def can_replay(self):
         """Whether a recorded answer fits the form the caller wants."""
@@ -194,7 +194,7 @@
 
     @property
     def terms(self):
-        """See ``serving.Serving``.
+        """See ``serving.ActiveRequest``.
 
         Counting refusals failed requests while a healthy replica was left
         (symptom: backend_failed with one of five engines up, before load
@@ -205,7 +205,7 @@
                               refusals_free=True)
 
     def send_next(self):
-        """See ``serving.Serving``."""
+        """See ``serving.ActiveRequest``."""
         rep = self.app.route(self.ask, self.ticket.priority,
                              self.attempts.tried)
         if rep is None:
@@ -259,8 +259,8 @@
 
     # -- endings ---------------------------------------------------------------
 
-    def tell(self, exc):
-        """See ``serving.Serving``."""
+    def send_error(self, exc):
+        """See ``serving.ActiveRequest``."""
         self.log.info('job_failed', code=exc.code, error=str(exc))
         if self._claimed and isinstance(exc, errors.NotRunError):
             self.app.ledger.release(self.ask.key, self.ask.rid)
@@ -277,12 +277,12 @@
 
     def first_token(self, now):
         """Notes the first token, or the whole reply of a plain service."""
-        self.first_at = now
-        metrics.TTFT.labels(*self.labels).observe(now - self.arrived)
+        self.first_byte_at = now
+        metrics.TTFT.labels(*self.labels).observe(now - self.arrived_at)
 
-    def note_end(self, outcome, exc):
-        """See ``serving.Serving``."""
-        e2e = time.monotonic() - self.arrived
+    def record_end(self, outcome, exc):
+        """See ``serving.ActiveRequest``."""
+        e2e = time.monotonic() - self.arrived_at
         if outcome == Outcome.OK.value:
             self._count_served(e2e)
         else:
@@ -293,8 +293,8 @@
         self.log.info('job_done',
                       outcome=outcome,
                       tokens=self.tokens,
-                      queued_ms=_ms(self.arrived, self.started_at),
-                      ttft_ms=_ms(self.arrived, self.first_at),
+                      queued_ms=_ms(self.arrived_at, self.started_at),
+                      ttft_ms=_ms(self.arrived_at, self.first_byte_at),
                       e2e_ms=round(e2e * 1000, 1),
                       attempts=self.attempts.names)
         ran = self.started_at is not None
@@ -303,7 +303,7 @@
     def _count_served(self, e2e):
         klass = self.ask.klass
         metrics.E2E.labels(*self.labels).observe(e2e)
-        ttft = self.first_at - self.arrived
+        ttft = self.first_byte_at - self.arrived_at
         if ttft * 1000 <= klass.ttft_ms and e2e * 1000 <= klass.e2e_ms:
             metrics.ATTAINED.labels(*self.labels).inc()
             metrics.GOODPUT.labels(*self.labels).inc(self.tokens)
--- a/gorsefall/entry/ledger.py
+++ b/gorsefall/entry/ledger.py
@@ -85,25 +85,28 @@
         """Claims ``key`` for request ``rid``.
 
         Calls ``done(fence, exc)`` once: ``fence`` when ``rid`` won, else
-        ``exc``: ``errors.AlreadyAnsweredError`` with the recorded answer,
+        ``exc``: ``errors.DuplicateRequestError`` with the recorded answer,
         ``errors.InProgressError``, ``errors.OutcomeUnknownError``,
         ``errors.KeyReusedError``, or ``errors.NotRunError`` when the claim
         could not be made.
         """
-        rec = self._record(claims.Kind.CLAIM, key, rid, digest=digest)
+        rec = self._record(claims.RecordKind.CLAIM, key, rid, digest=digest)
         self._waiters[rid] = _Waiter(rec, done, time.monotonic())
         self._send(rec)
 
     def release(self, key, rid):
         """Gives back a won claim whose request was certainly not sent."""
-        self._send(self._record(claims.Kind.RELEASE, key, rid))
+        self._send(self._record(claims.RecordKind.RELEASE, key, rid))
 
     def done(self, key, rid, status, reply):
         """Records the answer, so that a repeated request gets the same."""
         if len(msgspec.json.encode(reply)) > MAX_REPLY_BYTES:
             reply = None
         self._send(
-            self._record(claims.Kind.DONE, key, rid, status=status,
+            self._record(claims.RecordKind.DONE,
+                         key,
+                         rid,
+                         status=status,
                          reply=reply))
 
     # -- writing -------------------------------------------------------------
@@ -158,7 +161,7 @@
         twice. The next tick sends what is put back here.
         """
         for rec in batch:
-            if rec.kind is not claims.Kind.CLAIM or exc.busy:
+            if rec.kind is not claims.RecordKind.CLAIM or exc.busy:
                 if len(self._out) < MAX_UNWRITTEN:
                     self._out.append(rec)
             elif exc.not_run and rec.rid in self._waiters:
@@ -264,7 +267,7 @@
             self.poll()
             return
         self.busy = False
-        self.state.forget()
+        self.state.drop_expired()
         self._settle(False)
 
     def _apply(self, raw):
@@ -273,7 +276,7 @@
             self.state.offset = max(self.state.offset, raw.offset + 1)
             return
         self.state.apply(raw.offset, rec, time.monotonic())
-        if rec.kind is not claims.Kind.CLAIM:
+        if rec.kind is not claims.RecordKind.CLAIM:
             return
         if rec.rid in self._waiters:
             self._decide(self._waiters.pop(rec.rid))
@@ -297,8 +300,8 @@
                     f'key {rec.key!r} belongs to another request'))
         elif held.status:
             waiter.done(None,
-                        errors.AlreadyAnsweredError(held.status, held.reply))
-        elif time.monotonic() - held.seen < IN_PROGRESS_S:
+                        errors.DuplicateRequestError(held.status, held.reply))
+        elif time.monotonic() - held.seen_at < IN_PROGRESS_S:
             waiter.done(None,
                         errors.InProgressError(f'key {rec.key!r} is being run'))
         else:
--- a/gorsefall/entry/servicejobs.py
+++ b/gorsefall/entry/servicejobs.py
@@ -34,7 +34,7 @@
     def _on_end(self, status, obj, exc):
         rep = self.rep
         whole = exc is None and obj is not None
-        refused = whole and replies.says_not_run(obj)
+        refused = whole and replies.reports_not_run(obj)
         self.attempt_over(reached=self.call is None or self.call.sent,
                           refused=refused)
         if self.done:
@@ -50,7 +50,8 @@
                          status=status,
                          error=str(exc),
                          refused=refused)
-        self.again_or(errors.BackendFailedError(f'service failed: {why}'), why)
+        self.retry_or_fail(errors.BackendFailedError(f'service failed: {why}'),
+                           why)
 
     def _answer(self, status, obj):
         self.first_token(time.monotonic())
--- a/gorsefall/entry/streams.py
+++ b/gorsefall/entry/streams.py
@@ -2,7 +2,7 @@
 
 from gorsefall import errors
 from gorsefall import replies
-from gorsefall import streamwire
+from gorsefall import streamprotocol
 from gorsefall.net import links
 
 READ_IDLE_S = 5.0
@@ -39,7 +39,7 @@
 
         def on_reply(*reply):
             try:
-                page = streamwire.page(*reply)
+                page = streamprotocol.decode_page(*reply)
             except errors.LogServiceError as exc:
                 done(None, exc)
             else:
@@ -48,7 +48,7 @@
         links.fetch_json(self._mgr,
                          self._addr,
                          'GET',
-                         streamwire.read_path(stream, start, limit),
+                         streamprotocol.read_path(stream, start, limit),
                          idle_s=READ_IDLE_S,
                          done=on_reply)
 
@@ -60,19 +60,20 @@
         """
 
         def on_reply(status, obj, exc):
-            if exc is None and status == streamwire.OK_STATUS:
+            if exc is None and status == streamprotocol.OK_STATUS:
                 done(None)
                 return
-            not_run = exc is None and replies.says_not_run(obj)
+            not_run = exc is None and replies.reports_not_run(obj)
             done(
                 errors.LogServiceError(f'status {status}: {exc}',
                                        not_run=not_run,
                                        busy=not_run and
-                                       status == streamwire.BUSY_STATUS))
+                                       status == streamprotocol.BUSY_STATUS))
 
         links.fetch_json(self._mgr,
                          self._addr,
                          'POST',
-                         streamwire.append_path(stream), {'records': records},
+                         streamprotocol.append_path(stream),
+                         {'records': records},
                          idle_s=APPEND_IDLE_S,
                          done=on_reply)
--- a/gorsefall/entry/textjobs.py
+++ b/gorsefall/entry/textjobs.py
@@ -93,7 +93,7 @@
 
     def _deliver(self, event):
         now = time.monotonic()
-        if self.first_at is None:
+        if self.first_byte_at is None:
             self.first_token(now)
         else:
             metrics.TBT.labels(*self.labels).observe(
@@ -123,7 +123,7 @@
                          status=self._status,
                          error=str(exc),
                          tokens=self.tokens)
-        self.again_or(
+        self.retry_or_fail(
             errors.BackendFailedError(
                 f'{len(self.attempts.names)} engines failed; '
                 f'{self.tokens} tokens were delivered'), str(exc))
--- a/gorsefall/errors.py
+++ b/gorsefall/errors.py
@@ -77,9 +77,9 @@
     code = 'store'
     status = 503
 
-    def __init__(self, msg, forgotten=False):
+    def __init__(self, msg, records_expired=False):
         super().__init__(msg)
-        self.forgotten = forgotten
+        self.records_expired = records_expired
 
 
 class NotRunError(GorsefallError):
@@ -108,7 +108,7 @@
     status = 429
 
 
-class CrashesReplicasError(BadRequestError):
+class PoisonRequestError(BadRequestError):
     """Replicas ended again and again as they ran the request: not sent."""
     code = 'crashes_replicas'
 
@@ -128,7 +128,7 @@
     code = 'no_catalogue'
 
 
-class UnprovenError(NotRunError):
+class UnconfirmedError(NotRunError):
     """The configuration was not confirmed lately: a key may be revoked."""
     code = 'unproven'
 
@@ -234,7 +234,7 @@
     status = 422
 
 
-class AlreadyAnsweredError(GorsefallError):
+class DuplicateRequestError(GorsefallError):
     """The key's request has been answered before; carries that answer.
 
     Attributes:
--- a/gorsefall/explain.py
+++ b/gorsefall/explain.py
@@ -88,12 +88,12 @@
 
 
 @functools.singledispatch
-def tell(event):
+def describe(event):
     """Returns a sentence for a ``loglines.Event``."""
     return _SENTENCES.get(type(event), type(event).__name__).format(event)
 
 
-@tell.register
+@describe.register
 def _(event: loglines.Sent):
     return (f'attempt {event.attempt}: sent to {event.replica} of '
             f'{event.service or "its service"}, priority {event.priority}; '
@@ -102,14 +102,14 @@
             f'{_confirmed(event)}')
 
 
-@tell.register
+@describe.register
 def _(event: loglines.AttemptFailed):
     reached = 'may have it' if event.sent else 'was never reached'
     return (f'{event.replica} gave no whole answer after '
             f'{event.after_ms:.0f} ms ({event.reason}); it {reached}')
 
 
-@tell.register
+@describe.register
 def _(event: loglines.Answered):
     took = '' if event.ms is None else f' after {event.ms:.0f} ms'
     route = f' on route {event.route}' if event.route else ''
@@ -151,7 +151,7 @@
             continue
         if isinstance(line.event, loglines.Started):
             latest.clear()
-        if isinstance(line.event, loglines.Belief):
+        if isinstance(line.event, loglines.ObservedState):
             subject = _subject(line.event)
             latest.pop(subject, None)
             latest[subject] = line
@@ -197,7 +197,7 @@
 def _trouble(own):
     """Returns what replicas did to the request, for the end of a sentence."""
     told = [
-        tell(line.event)
+        describe(line.event)
         for line in own
         if isinstance(line.event, loglines.AttemptFailed | loglines.NotRun)
     ]
@@ -237,10 +237,10 @@
     out = [f'request {request} at {own[0].process}', '', 'believed then:']
     out += _told(_beliefs(log.lines, own)) or ['  nothing yet']
     out += ['', 'decided:', *_told(own), '', f'cause: {cause(log.lines, own)}']
-    if log.spoilt:
-        out += ['', f'{log.spoilt} spoilt lines were passed over']
+    if log.malformed:
+        out += ['', f'{log.malformed} spoilt lines were passed over']
     return '\n'.join(out)
 
 
 def _told(lines):
-    return [f'  {line.at_s:.4f}  {tell(line.event)}' for line in lines]
+    return [f'  {line.at_s:.4f}  {describe(line.event)}' for line in lines]
--- a/gorsefall/oplog.py
+++ b/gorsefall/logclient.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from gorsefall import errors
-from gorsefall import streamwire
+from gorsefall import streamprotocol
 
 READ_LIMIT = 500
 """Records of one read; a page of them is under a MB."""
@@ -41,9 +41,9 @@
         errors.LogServiceError: Refused, failed, or the reply was lost; in
             the last case the write may have taken effect.
     """
-    status, obj = _call(addr, 'POST', streamwire.append_path(stream),
+    status, obj = _call(addr, 'POST', streamprotocol.append_path(stream),
                         {'records': records})
-    if status != streamwire.OK_STATUS:
+    if status != streamprotocol.OK_STATUS:
         raise errors.LogServiceError(f'append to {stream}: {status} {obj}')
     return obj['offset']
 
@@ -59,8 +59,8 @@
     out = []
     first = None
     while True:
-        page = streamwire.page(*_call(
-            addr, 'GET', streamwire.read_path(stream, start, READ_LIMIT)))
+        page = streamprotocol.decode_page(*_call(
+            addr, 'GET', streamprotocol.read_path(stream, start, READ_LIMIT)))
         if page.expired:
             # Older records have expired, perhaps while reading; what was
             # read before the gap is of no use without it.
--- a/gorsefall/loglines.py
+++ b/gorsefall/loglines.py
@@ -99,63 +99,63 @@
     proof_age_s: float | None = None
 
 
-class Belief(Event):
+class ObservedState(Event):
     """A line about what a process believes or whether it runs."""
 
 
-class Configuration(Belief, tag='configuration'):
+class Configuration(ObservedState, tag='configuration'):
     """A configuration is in force."""
     version: int
     before: int | None = None
 
 
-class ProofLost(Belief, tag='proof_lost'):
+class ProofLost(ObservedState, tag='proof_lost'):
     """The configuration was not confirmed lately."""
     age_s: float
 
 
-class ProofRegained(Belief, tag='proof_regained'):
+class ProofRegained(ObservedState, tag='proof_regained'):
     """The configuration is confirmed again."""
     age_s: float
 
 
-class StoreLost(Belief, tag='store_lost'):
+class StoreLost(ObservedState, tag='store_lost'):
     """The store does not answer."""
     topic: str
     error: str
 
 
-class StoreRegained(Belief, tag='store_regained'):
+class StoreRegained(ObservedState, tag='store_regained'):
     """The store answers again."""
     topic: str
 
 
-class ReplicaSeen(Belief, tag='replica_seen'):
+class ReplicaSeen(ObservedState, tag='replica_seen'):
     """A replica's record is new or its status changed."""
     replica: str
     status: str
 
 
-class ReplicaDoubtful(Belief, tag='replica_doubtful'):
+class ReplicaDoubtful(ObservedState, tag='replica_doubtful'):
     """A replica's record lapsed beside a store outage."""
     replica: str
 
 
-class ReplicaGone(Belief, tag='replica_gone'):
+class ReplicaGone(ObservedState, tag='replica_gone'):
     """A replica gets no more work."""
     replica: str
     reason: str
 
 
-class Started(Belief, tag='started'):
+class Started(ObservedState, tag='started'):
     """The process started."""
 
 
-class Stopping(Belief, tag='stopping'):
+class Stopping(ObservedState, tag='stopping'):
     """The process was told to stop."""
 
 
-class Stopped(Belief, tag='stopped'):
+class Stopped(ObservedState, tag='stopped'):
     """The process ended by itself."""
 
 
@@ -189,7 +189,7 @@
         spoilt: How many lines look like log lines but cannot be read.
     """
     lines: list
-    spoilt: int = 0
+    malformed: int = 0
 
 
 def _seconds(timestamp):
@@ -219,7 +219,7 @@
         return True
 
 
-def read(paths):
+def read_files(paths):
     """Reads log files into a ``Log``.
 
     Lines without an object are not log lines and are passed over, as are
@@ -240,5 +240,5 @@
             try:
                 log.lines.append(_decode(row, path.stem))
             except msgspec.DecodeError:
-                log.spoilt += _unread(row)
+                log.malformed += _unread(row)
     return log
--- a/gorsefall/logs.py
+++ b/gorsefall/logs.py
@@ -8,7 +8,7 @@
 
 from gorsefall import metrics
 
-MAX_WAITING_BYTES = 1 << 20
+MAX_PENDING_BYTES = 1 << 20
 """Log bytes that wait for a slow reader; more is left out and counted. A
 line has about 300 bytes, so this is some seconds of the busiest entry."""
 
@@ -20,26 +20,27 @@
     the pipe full, and every request with it.
 
     Attributes:
-        left_out: Lines that were left out.
+        dropped_lines: Lines that were left out.
     """
 
     def __init__(self, fd):
         self._fd = fd
         self._waiting = bytearray()
-        self.left_out = 0
+        self.dropped_lines = 0
         os.set_blocking(fd, False)
 
     def msg(self, line):
         """Writes a line, or keeps or drops it when the reader is slow."""
-        if len(self._waiting) > MAX_WAITING_BYTES:
-            self.left_out += 1
-            metrics.LOG_LEFT_OUT.inc()
+        if len(self._waiting) > MAX_PENDING_BYTES:
+            self.dropped_lines += 1
+            metrics.LOG_LINES_DROPPED.inc()
             self._flush()
             return
-        if self.left_out:
-            note = f'{{"event": "log_left_out", "lines": {self.left_out}}}\n'
+        if self.dropped_lines:
+            note = ('{"event": "log_left_out", '
+                    f'"lines": {self.dropped_lines}}}\n')
             self._waiting += note.encode()
-            self.left_out = 0
+            self.dropped_lines = 0
         self._waiting += line.encode() + b'\n'
         self._flush()
 
@@ -79,7 +80,7 @@
     _configure(level, structlog.PrintLoggerFactory(file=sys.stderr))
 
 
-def setup_bounded(fd, level='info'):
+def setup_nonblocking(fd, level='info'):
     """Configures structlog to write JSON lines to ``fd``, never blocking."""
     writer = BoundedWriter(fd)
     _configure(level, lambda *args: writer)
--- a/gorsefall/metrics.py
+++ b/gorsefall/metrics.py
@@ -57,11 +57,10 @@
 READS_STORE = prom.Gauge('gorsefall_reads_store',
                          'Whether this entry reads the store by itself.',
                          registry=REGISTRY)
-READS_ASKED = prom.Counter('gorsefall_reads_asked_total',
-                           'Questions to other entries of what the store '
-                           'holds, by outcome; read: nobody knew.',
-                           ('outcome',),
-                           registry=REGISTRY)
+PEER_READS = prom.Counter('gorsefall_reads_asked_total',
+                          'Questions to other entries of what the store '
+                          'holds, by outcome; read: nobody knew.', ('outcome',),
+                          registry=REGISTRY)
 QUEUED = prom.Gauge('gorsefall_queued',
                     'Requests waiting, by pool.', ('pool',),
                     registry=REGISTRY)
@@ -102,28 +101,30 @@
                        'Forwarded requests by outcome.',
                        ('account', 'route', 'outcome'),
                        registry=REGISTRY)
-RELAY_FIRST = prom.Histogram('gorsefall_relay_first_seconds',
-                             'Time to the first byte of an answer, s.',
-                             ('route',),
-                             buckets=_BUCKETS_S,
-                             registry=REGISTRY)
-RELAY_WHOLE = prom.Histogram('gorsefall_relay_whole_seconds',
+RELAY_FIRST_BYTE = prom.Histogram('gorsefall_relay_first_seconds',
+                                  'Time to the first byte of an answer, s.',
+                                  ('route',),
+                                  buckets=_BUCKETS_S,
+                                  registry=REGISTRY)
+RELAY_TOTAL = prom.Histogram('gorsefall_relay_whole_seconds',
                              'Time to the end of an answer, s.', ('route',),
                              buckets=_BUCKETS_S,
                              registry=REGISTRY)
-RELAY_RUNNING = prom.Gauge('gorsefall_relay_running',
-                           'Requests in flight.',
-                           registry=REGISTRY)
-PROOF_AGE = prom.Gauge('gorsefall_relay_configuration_age_seconds',
-                       'Time since the configuration was last confirmed, s.',
-                       registry=REGISTRY)
-UNPROVEN = prom.Counter('gorsefall_relay_unproven_total',
-                        'Requests let in with a key that was not confirmed '
-                        'of late, as the store is away.',
-                        registry=REGISTRY)
-REPLICAS_KNOWN = prom.Gauge('gorsefall_relay_replicas',
-                            'Replicas that may get new work.', ('service',),
-                            registry=REGISTRY)
+RELAY_IN_FLIGHT = prom.Gauge('gorsefall_relay_running',
+                             'Requests in flight.',
+                             registry=REGISTRY)
+CONFIGURATION_AGE = prom.Gauge(
+    'gorsefall_relay_configuration_age_seconds',
+    'Time since the configuration was last confirmed, s.',
+    registry=REGISTRY)
+UNCONFIRMED_REQUESTS = prom.Counter(
+    'gorsefall_relay_unproven_total',
+    'Requests let in with a key that was not confirmed '
+    'of late, as the store is away.',
+    registry=REGISTRY)
+USABLE_REPLICAS = prom.Gauge('gorsefall_relay_replicas',
+                             'Replicas that may get new work.', ('service',),
+                             registry=REGISTRY)
 RETRIES_LEFT = prom.Gauge('gorsefall_relay_retries_left',
                           'Retries that this entry may send now.', ('service',),
                           registry=REGISTRY)
@@ -131,26 +132,27 @@
                       'Queue at the best replica for the last request, ms.',
                       ('service',),
                       registry=REGISTRY)
-CRASHING = prom.Counter('gorsefall_crashing_requests_total',
-                        'Sightings of and decisions on requests under which '
-                        'replicas crashed: seen, blamed, refused, parked, '
-                        'cleared.', ('what',),
-                        registry=REGISTRY)
-LOG_LEFT_OUT = prom.Counter('gorsefall_log_lines_left_out_total',
-                            'Log lines left out as their reader was slow.',
-                            registry=REGISTRY)
-
-
-def relayed(account, route, outcome):
+CRASHING_REQUESTS = prom.Counter(
+    'gorsefall_crashing_requests_total',
+    'Sightings of and decisions on requests under which '
+    'replicas crashed: seen, blamed, refused, parked, '
+    'cleared.', ('what',),
+    registry=REGISTRY)
+LOG_LINES_DROPPED = prom.Counter('gorsefall_log_lines_left_out_total',
+                                 'Log lines left out as their reader was slow.',
+                                 registry=REGISTRY)
+
+
+def count_relayed(account, route, outcome):
     """Counts the end of a forwarded request."""
     RELAYED.labels(*_account_route(account, route), outcome).inc()
 
 
-def relay_times(route, first_s, whole_s):
+def observe_relay_times(route, first_s, whole_s):
     """Observes the times of a served request, s."""
     labels = _route_alone(route)
-    RELAY_FIRST.labels(*labels).observe(first_s)
-    RELAY_WHOLE.labels(*labels).observe(whole_s)
+    RELAY_FIRST_BYTE.labels(*labels).observe(first_s)
+    RELAY_TOTAL.labels(*labels).observe(whole_s)
 
 
 def render():
--- a/gorsefall/publish.py
+++ b/gorsefall/publish.py
@@ -6,7 +6,7 @@
 
 from gorsefall import catalogue
 from gorsefall import errors
-from gorsefall import oplog
+from gorsefall import logclient
 
 STREAM = 'catalogue'
 SNAPSHOTS = 'catalogue-snapshots'
@@ -35,9 +35,9 @@
         errors.LogServiceError: The log service failed.
         errors.CatalogueError: Records expired and no snapshot covers them.
     """
-    records, start, end = oplog.read_all(addr, STREAM, state.offset)
+    records, start, end = logclient.read_all(addr, STREAM, state.offset)
     if start > state.offset:
-        snaps, _, _ = oplog.read_all(addr, SNAPSHOTS)
+        snaps, _, _ = logclient.read_all(addr, SNAPSHOTS)
         for rec in snaps:
             state.restore(msgspec.convert(rec.data, catalogue.Snapshot))
         if state.offset < start:
@@ -65,7 +65,7 @@
         errors.LogServiceError: The change was not written, or it cannot be
             known whether it was.
     """
-    catalogue.check(doc)
+    catalogue.validate(doc)
     state = current(addr)
     base = state.version if base is None else base
     if base not in state.history:
@@ -83,7 +83,7 @@
                               author=author)
     cause = None
     try:
-        oplog.append(addr, STREAM, [msgspec.to_builtins(change)])
+        logclient.append(addr, STREAM, [msgspec.to_builtins(change)])
     except errors.LogServiceError as exc:
         # Maybe written anyway; the read below decides.
         cause = exc
@@ -103,6 +103,7 @@
 
 def _write_snapshot(addr, state):
     try:
-        oplog.append(addr, SNAPSHOTS, [msgspec.to_builtins(state.snapshot())])
+        logclient.append(addr, SNAPSHOTS,
+                         [msgspec.to_builtins(state.snapshot())])
     except errors.LogServiceError:
         pass  # The entries write one when the newest grows old.
--- a/gorsefall/relay/crashes.py
+++ b/gorsefall/relay/crashes.py
@@ -97,9 +97,9 @@
 
     def _check(self, digest):
         if self.suspects.blocked(digest, self._clock()):
-            metrics.CRASHING.labels('refused').inc()
+            metrics.CRASHING_REQUESTS.labels('refused').inc()
             ended = self.suspects.crashes(digest)
-            raise errors.CrashesReplicasError(
+            raise errors.PoisonRequestError(
                 f'{len(ended)} replicas ended as they ran it: '
                 f'{", ".join(c.replica for c in ended)}')
 
@@ -108,10 +108,10 @@
 
         Of one that is held a run is under way at a time: several would take
         down as many replicas before the first one's end is known. The others
-        are called back with ``go_on`` when that run has ended.
+        are called back with ``dispatch`` when that run has ended.
 
         Raises:
-            errors.CrashesReplicasError: It is known to crash replicas.
+            errors.PoisonRequestError: It is known to crash replicas.
         """
         self._check(digest)
         if not self.suspects.held(digest):
@@ -119,7 +119,7 @@
         runs = self._under_way.setdefault(digest, exchange)
         if runs is exchange:
             return True
-        metrics.CRASHING.labels('parked').inc()
+        metrics.CRASHING_REQUESTS.labels('parked').inc()
         self._parked[digest].append(exchange)
         return False
 
@@ -128,7 +128,7 @@
         if self._under_way.get(digest) is exchange:
             del self._under_way[digest]
             for waiting in self._parked.pop(digest, ()):
-                self._loop.later(0, waiting.go_on)
+                self._loop.later(0, waiting.dispatch)
 
     # -- what is seen here -----------------------------------------------------
 
@@ -174,9 +174,9 @@
         if not self.suspects.crashed(digest, crash, weight, now):
             return
         blocked = self.suspects.blocked(digest, now)
-        metrics.CRASHING.labels('seen').inc()
+        metrics.CRASHING_REQUESTS.labels('seen').inc()
         self._log.info('crash_under_request',
-                       digest=digests.shown(digest),
+                       digest=digests.abbreviate(digest),
                        replica=record.id,
                        weight=int(weight),
                        total=self.suspects.weight(digest),
@@ -189,10 +189,10 @@
             self.on_blamed(digest)
 
     def _note_blamed(self, digest):
-        metrics.CRASHING.labels('blamed').inc()
+        metrics.CRASHING_REQUESTS.labels('blamed').inc()
         self._log.warning(
             'request_blamed',
-            digest=digests.shown(digest),
+            digest=digests.abbreviate(digest),
             replicas=[c.replica for c in self.suspects.crashes(digest)],
             suspects=len(self.suspects))
 
@@ -203,8 +203,8 @@
         now = self._clock()
         blamed = digest in self.suspects.blamed
         if self.suspects.ran(digest, now):
-            metrics.CRASHING.labels('cleared').inc()
-            self._log.info('request_cleared', digest=digests.shown(digest))
+            metrics.CRASHING_REQUESTS.labels('cleared').inc()
+            self._log.info('request_cleared', digest=digests.abbreviate(digest))
             self._told.append((now, digest, None))
             if blamed:
                 self.on_cleared(digest)
--- a/gorsefall/relay/ending.py
+++ b/gorsefall/relay/ending.py
@@ -22,10 +22,11 @@
     node = exchange.node
     route = grant.route
     account = grant.account.name if grant.account else ''
-    metrics.relayed(account, route.name if route else '', outcome.value)
+    metrics.count_relayed(account, route.name if route else '', outcome.value)
     if outcome is outcomes.Outcome.SERVED:
-        metrics.relay_times(route.name, exchange.first_at - exchange.arrived,
-                            now - exchange.arrived)
+        metrics.observe_relay_times(
+            route.name, exchange.first_byte_at - exchange.arrived_at,
+            now - exchange.arrived_at)
     late = _late(exchange, grant, pause_s, now)
     exchange.log.info('answered',
                       outcome=outcome.value,
@@ -35,9 +36,9 @@
                       route=route.name if route else None,
                       kind=route.kind.value if route else None,
                       account=account,
-                      digest=digests.shown(exchange.digest or b''),
+                      digest=digests.abbreviate(exchange.digest or b''),
                       attempts=exchange.attempts.names,
-                      first_ms=_since_ms(exchange, exchange.first_at),
+                      first_ms=_since_ms(exchange, exchange.first_byte_at),
                       ms=_since_ms(exchange, now),
                       pause_ms=round(pause_s * 1000, 1),
                       late=late.value if late else None,
@@ -49,10 +50,10 @@
 def _late(exchange, grant, pause_s, now):
     """Returns the ``outcomes.Late`` that kept it from full worth, or None."""
     route = grant.route
-    if route is None or exchange.first_at is None:
+    if route is None or exchange.first_byte_at is None:
         return None
-    came = exchange.first_at if grant.streams else now
-    if route.target_s and came - exchange.arrived > route.target_s:
+    came = exchange.first_byte_at if grant.streams else now
+    if route.target_s and came - exchange.arrived_at > route.target_s:
         return outcomes.Late.START
     if route.gap_s and pause_s > route.gap_s:
         return outcomes.Late.PAUSE
@@ -63,4 +64,4 @@
     """Returns the time from its arrival to ``when``, ms, or None."""
     if when is None:
         return None
-    return round((when - exchange.arrived) * 1000, 1)
+    return round((when - exchange.arrived_at) * 1000, 1)
--- a/gorsefall/relay/exchange.py
+++ b/gorsefall/relay/exchange.py
@@ -24,7 +24,7 @@
 """Statuses of a replica that failed, and of one whose time was up."""
 
 
-class Exchange(serving.Serving):
+class Exchange(serving.ActiveRequest):
     """Runs one caller request through replicas; owns its answer.
 
     Attributes:
@@ -58,20 +58,21 @@
             self.fail(exc)
             return
         account = self._grant.account
-        self.digest = digests.request(self.node.cfg.digest_key.encode(),
-                                      account.name if account else '',
-                                      self.req.target, self.req.body_digest)
+        self.digest = digests.request_digest(self.node.cfg.digest_key.encode(),
+                                             account.name if account else '',
+                                             self.req.target,
+                                             self.req.body_digest)
         left = self._grant.route.timeout_s
         if self.req.time_left_s is not None:
             left = min(left, self.req.time_left_s)
-        self._deadline = self.arrived + left
+        self._deadline = self.arrived_at + left
         self._deadline_timer = self.node.loop.later(left, self._time_up)
         self._grant.asked()
-        self.go_on()
+        self.dispatch()
 
     @property
     def terms(self):
-        """See ``serving.Serving``."""
+        """See ``serving.ActiveRequest``."""
         return attempts.Terms(repeatable=not self._grant.once,
                               most=self._grant.route.max_attempts)
 
@@ -90,8 +91,8 @@
     def _time_left(self):
         return self._deadline - time.monotonic()
 
-    def take_spare(self):
-        """See ``serving.Serving``."""
+    def claim_retry(self):
+        """See ``serving.ActiveRequest``."""
         return (bool(
             self.node.fleet.candidates(self._grant.service,
                                        self.attempts.tried)) and
@@ -100,7 +101,7 @@
     # -- sending ---------------------------------------------------------------
 
     def send_next(self):
-        """See ``serving.Serving``."""
+        """See ``serving.ActiveRequest``."""
         if self.attempts.tried:
             # Asked again before each send: while the request waited, its
             # key may have been revoked or its route moved.
@@ -200,8 +201,8 @@
 
     def answer_data(self, attempt, data):
         """Called with a piece of an answer's body."""
-        if self.first_at is None:
-            self.first_at = time.monotonic()
+        if self.first_byte_at is None:
+            self.first_byte_at = time.monotonic()
         if not attempt.begun:
             attempt.first_at = time.monotonic()
             self._note_wait(attempt)
@@ -256,7 +257,7 @@
             self.close(outcomes.Outcome.SERVED)
         elif self._delivery.resuming:
             self._again_or_unknown(f'resuming gave {answer.status}')
-        elif answer.status != INTERNAL or not self.again(f'status {INTERNAL}'):
+        elif answer.status != INTERNAL or not self.retry(f'status {INTERNAL}'):
             # Without another replica to ask, a failure's own answer is the
             # best that the caller can get, so it is passed on too.
             self._delivery.whole(answer)
@@ -271,7 +272,7 @@
                       replica=attempt.replica.record.id,
                       status=answer.status,
                       load=answer.load)
-        self.again_or(
+        self.retry_or_fail(
             errors.ReplicaRefusedError(
                 f'the replica refused it ({answer.status})',
                 retry_after=comeback.soon_s()), 'not run')
@@ -311,10 +312,10 @@
             self._again_or_unknown(reason)
 
     def _again_or_unknown(self, reason):
-        self.again_or(self.attempts.unknown(reason), reason)
+        self.retry_or_fail(self.attempts.unknown(reason), reason)
 
-    def discard(self):
-        """See ``serving.Serving``."""
+    def discard_response(self):
+        """See ``serving.ActiveRequest``."""
         self._delivery.discard()
 
     # -- going on from a copy --------------------------------------------------
@@ -400,16 +401,16 @@
         if self._attempt_timer is not None:
             self._attempt_timer.cancel()
 
-    def tell(self, exc):
-        """See ``serving.Serving``."""
+    def send_error(self, exc):
+        """See ``serving.ActiveRequest``."""
         if self._delivery.started:
             self._delivery.break_off()
             return outcomes.Outcome.BROKEN
         self._delivery.refuse(*outcomes.error_answer(exc))
         return outcomes.outcome_of(exc)
 
-    def note_end(self, outcome, exc):
-        """See ``serving.Serving``."""
+    def record_end(self, outcome, exc):
+        """See ``serving.ActiveRequest``."""
         if self._deadline_timer is not None:
             self._deadline_timer.cancel()
         self._copy.cancel()
--- a/gorsefall/relay/grant.py
+++ b/gorsefall/relay/grant.py
@@ -39,9 +39,9 @@
         Raises:
             errors.NoCatalogueError: No configuration is known yet.
             errors.BadRequestError: No route, or no valid key.
-            errors.UnprovenError: The key might be revoked by now.
+            errors.UnconfirmedError: The key might be revoked by now.
         """
-        table = directory.known(self._node.table)
+        table = directory.require_loaded(self._node.table)
         route = table.match(self._req)
         if self.route != route:
             self.route = route
@@ -59,11 +59,11 @@
         a known key is better served than refused.
         """
         if self._node.cfg.strict_revocation:
-            raise errors.UnprovenError(
+            raise errors.UnconfirmedError(
                 f'configuration {table.version} was last confirmed '
                 f'{self._node.proof.age_s():.2f} s ago',
                 retry_after=comeback.soon_s())
-        metrics.UNPROVEN.inc()
+        metrics.UNCONFIRMED_REQUESTS.inc()
 
     @property
     def streams(self):
--- a/gorsefall/relay/main.py
+++ b/gorsefall/relay/main.py
@@ -14,7 +14,7 @@
         path: Settings file.
         adapter: See ``node.Node``.
     """
-    logs.setup_bounded(sys.stdout.fileno())
+    logs.setup_nonblocking(sys.stdout.fileno())
     try:
         node.run(path, adapter)
     except errors.GorsefallError as exc:
--- a/gorsefall/relay/node.py
+++ b/gorsefall/relay/node.py
@@ -245,12 +245,12 @@
 
     def measure(self):
         """Sets the gauges of what is believed and under way now."""
-        metrics.RELAY_RUNNING.set(self.under_way)
-        metrics.PROOF_AGE.set(self.proof.age_s())
+        metrics.RELAY_IN_FLIGHT.set(self.in_flight)
+        metrics.CONFIGURATION_AGE.set(self.proof.age_s())
         if self.table is not None:
             metrics.CATALOGUE_VERSION.set(self.table.version)
             for service in self.table.services:
-                metrics.REPLICAS_KNOWN.labels(service).set(
+                metrics.USABLE_REPLICAS.labels(service).set(
                     len(self.fleet.candidates(service, ())))
         now = self.loop.now
         for service, known in self._budgets.items():
@@ -294,7 +294,7 @@
     # -- shutdown --------------------------------------------------------------
 
     @property
-    def under_way(self):
+    def in_flight(self):
         """See ``daemon.Daemon``."""
         return len(self._exchanges)
 
@@ -308,7 +308,7 @@
         """See ``daemon.Daemon``."""
         return self.cfg.grace_s - LAST_ANSWERS_S
 
-    def stopping(self):
+    def on_drain(self):
         """See ``daemon.Daemon``."""
         self.loop.later(LAME_DUCK_S, self._refuse_channels)
 
@@ -316,7 +316,7 @@
         # A request taken late may outlast the grace time and be cut. A
         # caller whose channel is refused tries another entry at once.
         self._listener.close()
-        self.log.info('no_new_channels', running=self.under_way)
+        self.log.info('no_new_channels', running=self.in_flight)
         self._check_drained()
 
     def _check_drained(self):
@@ -327,7 +327,7 @@
         if self.shutdown.late(now):
             for running in list(self._exchanges):
                 running.cut()
-        if self.shutdown.over(now, self.under_way or self._callers.sending()):
+        if self.shutdown.over(now, self.in_flight or self._callers.sending()):
             self._finish()
             return
         self.loop.later(STOP_POLL_S, self._check_drained)
--- a/gorsefall/relay/remembered.py
+++ b/gorsefall/relay/remembered.py
@@ -154,7 +154,7 @@
         if exc is not None:
             # It may have been written all the same; once more does no harm.
             self._log.warning('not_written',
-                              digest=digests.shown(digest),
+                              digest=digests.abbreviate(digest),
                               error=str(exc))
             self._loop.later(RETRY_S, self._again)
             return
--- a/gorsefall/relay/sending.py
+++ b/gorsefall/relay/sending.py
@@ -42,7 +42,7 @@
                                 self._exchange.node)
         self._exchange.log.info(
             'sent',
-            digest=digests.shown(self._exchange.digest),
+            digest=digests.abbreviate(self._exchange.digest),
             replica=self.replica.record.id,
             service=service,
             attempt=number,
--- a/gorsefall/relay/sharing.py
+++ b/gorsefall/relay/sharing.py
@@ -222,7 +222,7 @@
     def _unanswered(self, number):
         if self._open is None or self._open.number != number:
             return
-        metrics.READS_ASKED.labels('unanswered').inc()
+        metrics.PEER_READS.labels('unanswered').inc()
         self._unheard = True
         host, *rest = self._open.hosts
         self._choice.unanswered(host, self._loop.now)
@@ -245,7 +245,7 @@
         if self.leads or not self._in_vain:
             self._own_read_due = False
             return
-        metrics.READS_ASKED.labels('read').inc()
+        metrics.PEER_READS.labels('read').inc()
         self.told_by = None
         for followed in self._topics.values():
             if followed.follower.age_s() > self._ask_s:
@@ -295,7 +295,7 @@
             name for name, followed in self._topics.items()
             if not self._take(followed, question, message.news.get(name))
         ]
-        metrics.READS_ASKED.labels('stale' if stale else 'told').inc()
+        metrics.PEER_READS.labels('stale' if stale else 'told').inc()
         if stale:
             self._ask(question.hosts[1:])
             return
--- a/gorsefall/relay/topic.py
+++ b/gorsefall/relay/topic.py
@@ -320,7 +320,7 @@
 
     def _on_batch(self, batch, exc):
         if exc is not None:
-            if exc.forgotten:
+            if exc.records_expired:
                 self._log.info('history_forgotten', offset=self.offset)
                 self._list('')
                 return
--- a/gorsefall/replies.py
+++ b/gorsefall/replies.py
@@ -40,7 +40,7 @@
     return json_body(res, exc.to_json(), exc.status)
 
 
-def says_not_run(obj):
+def reports_not_run(obj):
     """Returns whether a decoded error reply says that nothing was done.
 
     A peer that refuses before acting marks it with ``error.not_run``.
@@ -95,7 +95,7 @@
         """Nothing to release; circuits.web calls this at the end."""
 
 
-class Push:
+class ChunkedReply:
     """A chunked reply whose chunks are sent when they become available.
 
     Attributes:
@@ -124,9 +124,9 @@
             self._mgr.fire(web_events.stream(self.res, None), WEB_CHANNEL)
 
 
-def push(mgr, res, content_type):
+def start_chunked(mgr, res, content_type):
     """Starts a pushed reply; the controller must return ``push.res``."""
-    return Push(mgr, res, content_type)
+    return ChunkedReply(mgr, res, content_type)
 
 
 class JsonOnly(core.BaseComponent):
@@ -186,7 +186,7 @@
         self.fire(web_events.response(res))
 
 
-class Later:
+class DeferredReply:
     """A reply decided after the controller returned.
 
     The controller returns ``True``, which circuits.web takes as "answered
@@ -241,6 +241,6 @@
         """Sends status 200 and headers; returns the ``Push`` for chunks."""
         if self.push is None:
             self.started = True
-            self.push = Push(self._mgr, self.res, content_type)
+            self.push = ChunkedReply(self._mgr, self.res, content_type)
             self._mgr.fire(web_events.response(self.res), WEB_CHANNEL)
         return self.push
--- a/gorsefall/serving.py
+++ b/gorsefall/serving.py
@@ -11,7 +11,7 @@
 from gorsefall.policy import attempts
 
 
-class Serving:
+class ActiveRequest:
     """One request of a caller; owns its answer.
 
     Attributes:
@@ -25,8 +25,8 @@
     def __init__(self, log):
         self.done = False
         self.attempts = attempts.Attempts()
-        self.arrived = time.monotonic()
-        self.first_at = None
+        self.arrived_at = time.monotonic()
+        self.first_byte_at = None
         self.log = log
 
     # -- what a wire gives -----------------------------------------------------
@@ -44,24 +44,24 @@
         """
         raise NotImplementedError
 
-    def take_spare(self):
+    def claim_retry(self):
         """Whether there is a replica, and a retry, to spare; takes it."""
         return True
 
-    def discard(self):
+    def discard_response(self):
         """Forgets what came of the answer of a run that ended."""
 
-    def tell(self, exc):
+    def send_error(self, exc):
         """Gives the caller the final answer ``exc``; returns the outcome."""
         raise NotImplementedError
 
-    def note_end(self, outcome, exc):
+    def record_end(self, outcome, exc):
         """Counts, logs and gives back what it held; called once."""
         raise NotImplementedError
 
     # -- sending it again ------------------------------------------------------
 
-    def go_on(self):
+    def dispatch(self):
         """Sends it on its way, or gives it up."""
         if self.done:
             return
@@ -75,34 +75,34 @@
             # Whatever forbids a further send, an earlier one may have run.
             self.fail(self.attempts.honest(exc, str(exc), self.terms))
 
-    def again(self, reason):
+    def retry(self, reason):
         """Sends it once more where that is safe; returns whether it is."""
-        if not (self.attempts.may_go_on(self.terms) and self.take_spare()):
+        if not (self.attempts.may_go_on(self.terms) and self.claim_retry()):
             return False
         self.log.info('retry', reason=reason)
         self.restart()
         return True
 
-    def again_or(self, exc, reason):
+    def retry_or_fail(self, exc, reason):
         """Sends it once more where that is safe, or ends it with ``exc``."""
-        if not self.again(reason):
+        if not self.retry(reason):
             self.fail(self.attempts.honest(exc, reason, self.terms))
 
     def restart(self):
         """Begins anew at another replica."""
-        self.discard()
-        self.go_on()
+        self.discard_response()
+        self.dispatch()
 
     # -- endings ---------------------------------------------------------------
 
     def fail(self, exc):
         """Gives the caller its final answer ``exc`` now."""
         if not self.done:
-            self.close(self.tell(exc), exc)
+            self.close(self.send_error(exc), exc)
 
     def close(self, outcome, exc=None):
         """Ends it; later calls do nothing."""
         if self.done:
             return
         self.done = True
-        self.note_end(outcome, exc)
+        self.record_end(outcome, exc)
--- a/gorsefall/standins/engine.py
+++ b/gorsefall/standins/engine.py
@@ -32,7 +32,7 @@
 @dataclasses.dataclass
 class _Seq:
     order: messages.GenerateOrder
-    out: replies.Push
+    out: replies.ChunkedReply
     length: int
     pos: int
     prefill: int
@@ -124,7 +124,7 @@
                                   messages.GenerateOrder)
         length = min(answer_length(order.prompt, self.seed, self.lo, self.hi),
                      order.max_tokens)
-        out = replies.push(self, self.response, 'application/x-ndjson')
+        out = replies.start_chunked(self, self.response, 'application/x-ndjson')
         self._waiting.append(
             _Seq(order,
                  out,
--- a/gorsefall/standins/service.py
+++ b/gorsefall/standins/service.py
@@ -21,7 +21,7 @@
 @dataclasses.dataclass
 class _Run:
     order: messages.ServiceCall
-    later: replies.Later
+    later: replies.DeferredReply
     sock: object
 
 
@@ -64,7 +64,7 @@
                         }
                     }, 409)
             self._fences[key] = order.fence
-        later = replies.Later(self, self.response)
+        later = replies.DeferredReply(self, self.response)
         self._waiting.append(_Run(order, later, self.request.sock))
         self._start()
         return True
--- a/gorsefall/streamwire.py
+++ b/gorsefall/streamprotocol.py
@@ -20,7 +20,7 @@
     return f'/streams/{stream}/read?start={start}&limit={limit}'
 
 
-def page(status, obj, exc=None):
+def decode_page(status, obj, exc=None):
     """Returns the ``messages.StreamPage`` of an answer to a read.
 
     Args:
--- a/tests/loads.py
+++ b/tests/loads.py
@@ -3,7 +3,7 @@
 import pathlib
 import statistics
 
-from gorsefall.emulator import play
+from gorsefall.emulator import simulation
 from gorsefall.emulator import policies
 from gorsefall.emulator import site
 
@@ -11,18 +11,19 @@
 SEEDS = range(6)
 
 AUTHORITY = site.load(SITES / 'authority.toml')
-FLIGHT_BANK = AUTHORITY.busier(digest=2.3)
+FLIGHT_BANK = AUTHORITY.with_rates_scaled(digest=2.3)
 VALUATION = site.load(SITES / 'valuation.toml')
 
 
 def means(load, policy=policies.placed, **options):
-    """Returns the mean ``play.Result`` of a load over ``SEEDS``."""
+    """Returns the mean ``simulation.Result`` of a load over ``SEEDS``."""
     runs = [
-        play.play(load, policy=policy, seed=seed, **options) for seed in SEEDS
+        simulation.simulate(load, policy=policy, seed=seed, **options)
+        for seed in SEEDS
     ]
-    return play.Result(_shares([r.on_time for r in runs]),
-                       _shares([r.refused for r in runs]),
-                       statistics.mean(r.worth for r in runs))
+    return simulation.Result(_shares([r.on_time for r in runs]),
+                             _shares([r.refused for r in runs]),
+                             statistics.mean(r.worth for r in runs))
 
 
 def _shares(found):
--- a/tests/stores.py
+++ b/tests/stores.py
@@ -63,8 +63,8 @@
             return
         if offset < self.first:
             self._loop.later(
-                0.004,
-                lambda: done(None, errors.StoreError('gone', forgotten=True)))
+                0.004, lambda: done(
+                    None, errors.StoreError('gone', records_expired=True)))
             return
         self._answer(
             lambda: topic.Batch(self.records[offset:offset + READ_RECORDS],
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -86,7 +86,7 @@
     assert made.in_doubt == ['a']
 
 
-class _Refusing(serving.Serving):
+class _Refusing(serving.ActiveRequest):
     """Was sent once; whatever comes then may not be sent any more."""
 
     def __init__(self, error, *, repeatable):
@@ -103,23 +103,23 @@
     def send_next(self):
         raise self._error
 
-    def tell(self, exc):
+    def send_error(self, exc):
         self.told = exc
         return 'told'
 
-    def note_end(self, outcome, exc):
+    def record_end(self, outcome, exc):
         pass
 
 
 @pytest.mark.parametrize('repeatable', [True, False])
 @pytest.mark.parametrize('error', [
-    errors.UnprovenError('old'),
+    errors.UnconfirmedError('old'),
     errors.ShedError('late'),
     errors.NoReplicaError('none')
 ])
 def test_what_may_have_run_is_never_called_not_run(error, repeatable):
     """A 503 for a request that ran: its next send was refused by ourselves."""
     request = _Refusing(error, repeatable=repeatable)
-    request.again('silent')
-    request.go_on()
+    request.retry('silent')
+    request.dispatch()
     assert isinstance(request.told, errors.OutcomeUnknownError)
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -8,7 +8,7 @@
 
 import loads
 from gorsefall import errors
-from gorsefall.emulator import play
+from gorsefall.emulator import simulation
 from gorsefall.emulator import policies
 from gorsefall.emulator import site
 
@@ -59,13 +59,13 @@
     repeated, or at what all entries together may send.
     """
     window_s = load.plain.retries.window_s
-    one = play.Play(load, policy, seed, {})
+    one = simulation.Simulation(load, policy, seed, {})
     one.run(window_s)
-    assert one.calls.most_runs['issue'] <= 1
-    assert one.calls.most_runs['lookup'] <= 2
-    firsts = one.calls.arrivals - one.calls.again
+    assert one.calls.max_runs['issue'] <= 1
+    assert one.calls.max_runs['lookup'] <= 2
+    firsts = one.calls.attempts - one.calls.retries
     allowed = load.plain.retries.ratio * firsts + load.plain.retries.slack
-    assert one.calls.again <= allowed
+    assert one.calls.retries <= allowed
 
 
 ONE_BAD = _with_plain(RECORDS, failing=(1.0, 0.0, 0.0))
--- a/tests/test_claims_fuzz.py
+++ b/tests/test_claims_fuzz.py
@@ -42,7 +42,7 @@
     def claim(self, e, key, lands):
         self.n += 1
         rid = f'r{self.n}'
-        rec = self._rec(claims.Kind.CLAIM, key, rid)
+        rec = self._rec(claims.RecordKind.CLAIM, key, rid)
         if lands == 'now':
             self.log.append(rec)
         elif lands == 'late':
@@ -60,7 +60,7 @@
         for off in range(state.offset, min(state.offset + most, len(self.log))):
             rec = self.log[off]
             state.apply(off, rec, 0.0)
-            if rec.kind is not claims.Kind.CLAIM:
+            if rec.kind is not claims.RecordKind.CLAIM:
                 continue
             if rec.rid in self.pending and self.pending[rec.rid][0] == e:
                 _, key = self.pending.pop(rec.rid)
@@ -71,7 +71,7 @@
             elif self.gave_up.pop(rec.rid, None) == e:
                 if state.claims[rec.key].rid == rec.rid:
                     self.log.append(
-                        self._rec(claims.Kind.RELEASE, rec.key, rec.rid))
+                        self._rec(claims.RecordKind.RELEASE, rec.key, rec.rid))
 
     @stateful.rule(data=st.data())
     def give_up_waiting(self, data):
@@ -89,7 +89,7 @@
             self.runs[key] += 1
             self.ran.add(rid)
             if answered:
-                self.log.append(self._rec(claims.Kind.DONE, key, rid))
+                self.log.append(self._rec(claims.RecordKind.DONE, key, rid))
 
     @stateful.rule(data=st.data())
     def release_undispatched(self, data):
@@ -97,7 +97,7 @@
             rid = data.draw(st.sampled_from(sorted(self.won)))
             _, key = self.won.pop(rid)
             self.told_not_run.add(rid)
-            self.log.append(self._rec(claims.Kind.RELEASE, key, rid))
+            self.log.append(self._rec(claims.RecordKind.RELEASE, key, rid))
 
     @stateful.rule(e=st.integers(0, 2))
     def crash(self, e):
@@ -127,7 +127,10 @@
     """A claim after the key's lifetime wins, by the records' own times."""
     state = claims.State(ttl_s=10.0)
     for off, (rid, at) in enumerate([('r1', 0.0), ('r2', 9.0), ('r3', 11.0)]):
-        rec = claims.Record(kind=claims.Kind.CLAIM, key='k', rid=rid, at=at)
+        rec = claims.Record(kind=claims.RecordKind.CLAIM,
+                            key='k',
+                            rid=rid,
+                            at=at)
         state.apply(off, rec, 0.0)
     assert state.claims['k'].rid == 'r3'
     assert state.claims['k'].fence == 2
@@ -135,9 +138,9 @@
 
 def test_an_answer_is_kept_for_the_claim_that_won():
     state = claims.State(ttl_s=10.0)
-    kinds = [(claims.Kind.CLAIM, 'r1'), (claims.Kind.CLAIM, 'r2'),
-             (claims.Kind.DONE, 'r2'), (claims.Kind.DONE, 'r1'),
-             (claims.Kind.RELEASE, 'r1')]
+    kinds = [(claims.RecordKind.CLAIM, 'r1'), (claims.RecordKind.CLAIM, 'r2'),
+             (claims.RecordKind.DONE, 'r2'), (claims.RecordKind.DONE, 'r1'),
+             (claims.RecordKind.RELEASE, 'r1')]
     for off, (kind, rid) in enumerate(kinds):
         rec = claims.Record(kind=kind, key='k', rid=rid, status=200, reply={})
         state.apply(off, rec, 0.0)
--- a/tests/test_digests.py
+++ b/tests/test_digests.py
@@ -13,7 +13,7 @@
     caller, target, data = parts
     body = digests.Body()
     body.add(data)
-    return digests.request(key, caller, target, body.digest)
+    return digests.request_digest(key, caller, target, body.digest)
 
 
 @given(st.binary(max_size=64), _PARTS, _PARTS)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -31,12 +31,12 @@
     ('f0dd6fc94b28cdf5', "the replica's own error was passed on"),
 ])
 def test_each_way_to_fail_has_its_cause(request_id, words):
-    text = explain.explain(loglines.read(DAYS), request_id)
+    text = explain.explain(loglines.read_files(DAYS), request_id)
     assert words in text.split('cause: ')[1], text
 
 
 def test_the_replica_at_fault_is_named():
-    log = loglines.read(DAYS)
+    log = loglines.read_files(DAYS)
     sends = [
         ln.event.replica
         for ln in log.lines
@@ -58,7 +58,7 @@
         '"code": "unknown_key"}\n')
     (tmp_path / 'b.log').write_text('{"event": "configuration", "version": 9}')
     text = explain.explain(
-        loglines.read([tmp_path / 'b.log', tmp_path / 'a.log']), 'r1')
+        loglines.read_files([tmp_path / 'b.log', tmp_path / 'a.log']), 'r1')
     assert 'configuration 7 came into force' in text
     assert 'configuration 1 ' not in text
     assert 'configuration 9 ' not in text
@@ -77,14 +77,14 @@
                     'no log line\n'
                     '{"event": "log_left_out", "lines": 3}\n'
                     '{"event": "answered", "rid": "r1", "outcome": "served"}\n')
-    log = loglines.read([path])
-    assert log.spoilt == 1
+    log = loglines.read_files([path])
+    assert log.malformed == 1
     assert '1 spoilt lines' in explain.explain(log, 'r1')
 
 
 def test_unknown_ids_and_missing_files_are_told(tmp_path, capsys):
     with pytest.raises(errors.UnknownRequestError):
-        explain.explain(loglines.read(DAYS), 'nobody')
+        explain.explain(loglines.read_files(DAYS), 'nobody')
     assert cmdline.main(['explain', str(tmp_path / 'none.log'), 'r1']) == 2
     assert 'bad_log_file' in capsys.readouterr().err
     assert cmdline.main(['explain', 'r1']) == 2
@@ -96,4 +96,4 @@
     path = tmp_path / 'entry-a.log'
     path.write_text('{"extra": {"a": 1}, "event": "answered", "rid": "r1", '
                     '"outcome": "served"}\n')
-    assert loglines.read([path]).lines[0].process == 'entry-a'
+    assert loglines.read_files([path]).lines[0].process == 'entry-a'
--- a/tests/test_fetching.py
+++ b/tests/test_fetching.py
@@ -77,8 +77,8 @@
     """Pattern: dossiers of 9,000 tokens at 2.3 times their rate beside long
     answers. Grounds: the valuation desk's load sheet; 6 seeds, 0.89 of the
     worth earned against 0.855 where nothing is fetched."""
-    burst = loads.VALUATION.busier(dossier=2.3)
+    burst = loads.VALUATION.with_rates_scaled(dossier=2.3)
     fetching = loads.means(burst)
-    reading = loads.means(burst.changed(fetch_ms=0.0))
+    reading = loads.means(burst.with_fields(fetch_ms=0.0))
     assert fetching.worth > reading.worth + 0.02
     assert fetching.on_time['dossier'] > reading.on_time['dossier']
--- a/tests/test_lean.py
+++ b/tests/test_lean.py
@@ -23,12 +23,12 @@
 
 
 START = """
-from gorsefall import lean
-lean.install()
+from gorsefall import lazyimports
+lazyimports.install()
 from adapter import records, store, wire
 from gorsefall import logs
 from gorsefall.relay import main, node
-logs.setup_bounded(1)
+logs.setup_nonblocking(1)
 logs.get('t').info('started')
 import sys
 """
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -17,7 +17,7 @@
     line = json.dumps({'event': 'x' * 200})
     for _ in range(20000):
         writer.msg(line)
-    assert writer.left_out > 0
+    assert writer.dropped_lines > 0
     os.set_blocking(recv, False)
     got = bytearray()
 
--- a/tests/test_many_entries.py
+++ b/tests/test_many_entries.py
@@ -5,7 +5,7 @@
 
 import loads
 
-from gorsefall.emulator import play
+from gorsefall.emulator import simulation
 from gorsefall.emulator import policies
 from gorsefall.policy import knowledge
 from gorsefall.policy import membership
@@ -13,11 +13,11 @@
 from gorsefall.policy import split
 from gorsefall.policy import unseen
 
-FLEET = loads.AUTHORITY.busier(digest=6.0, advice=6.0,
-                               chat=6.0).changed(count=40,
-                                                 slots=32,
-                                                 entries=60,
-                                                 exchange_ms=2400.0)
+FLEET = loads.AUTHORITY.with_rates_scaled(
+    digest=6.0, advice=6.0, chat=6.0).with_fields(count=40,
+                                                  slots=32,
+                                                  entries=60,
+                                                  exchange_ms=2400.0)
 """Six times the authority's load at 40 small engines."""
 
 IN_TIME = 0.95
@@ -27,7 +27,7 @@
 def test_long_answers_find_slots_though_entries_hear_late():
     """Pattern: the usual load of a fleet; chats wait for slots beside idle
     engines."""
-    found = play.play(FLEET, policy=policies.placed, seed=0)
+    found = simulation.simulate(FLEET, policy=policies.placed, seed=0)
     assert found.on_time['chat'] > IN_TIME
     assert found.on_time['digest'] > IN_TIME
 
@@ -35,10 +35,10 @@
 def test_a_burst_of_long_answers_is_spread(monkeypatch):
     """Pattern: chats come at 2.5 times their rate; all entries see the same
     engine idle, and one stands full beside ten empty ones."""
-    burst = FLEET.busier(chat=2.5)
-    spread = play.play(burst, policy=policies.placed, seed=0)
+    burst = FLEET.with_rates_scaled(chat=2.5)
+    spread = simulation.simulate(burst, policy=policies.placed, seed=0)
     monkeypatch.setattr(unseen, 'MOST', 0)
-    herded = play.play(burst, policy=policies.placed, seed=0)
+    herded = simulation.simulate(burst, policy=policies.placed, seed=0)
     assert spread.on_time['chat'] > herded.on_time['chat']
 
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -15,7 +15,7 @@
 
 def test_histograms_of_routes_beyond_the_bound_are_put_together():
     for i in range(3 * metrics.MAX_ROUTES):
-        metrics.relay_times(f'many-{i}', 0.1, 0.2)
+        metrics.observe_relay_times(f'many-{i}', 0.1, 0.2)
     page, _ = metrics.render()
     names = {
         line.split(b'route="')[1].split(b'"')[0]
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -16,7 +16,7 @@
 
 
 def _means(load, policy, engines):
-    return loads.means(load.changed(count=engines), policy)
+    return loads.means(load.with_fields(count=engines), policy)
 
 
 def test_a_flight_bank_beside_a_lost_engine():
@@ -238,10 +238,11 @@
     by.
     """
     usual = loads.VALUATION
-    for load, more in ((usual, 0.01), (usual.busier(query=2.2), 0.03),
-                       (usual.busier(dossier=2.3), 0.03)):
+    for load, more in ((usual, 0.01), (usual.with_rates_scaled(query=2.2),
+                                       0.03),
+                       (usual.with_rates_scaled(dossier=2.3), 0.03)):
         telling = loads.means(load)
-        silent = loads.means(load.changed(exchange_ms=0.0))
+        silent = loads.means(load.with_fields(exchange_ms=0.0))
         assert telling.worth > silent.worth + more
         assert telling.on_time['query'] > 0.9
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -44,7 +44,7 @@
     something beside what entries know of each other, where no prompt can be
     fetched.
     """
-    bank = loads.FLIGHT_BANK.changed(fetch_ms=0.0)
+    bank = loads.FLIGHT_BANK.with_fields(fetch_ms=0.0)
     after = loads.means(bank, policies.unrefused).on_time
     worth = loads.means(bank).worth
     monkeypatch.setattr(costs, 'REREAD', 0.0)
--- a/tests/test_publish.py
+++ b/tests/test_publish.py
@@ -6,7 +6,7 @@
 from gorsefall import catalogue
 from gorsefall import errors
 from gorsefall import messages
-from gorsefall import oplog
+from gorsefall import logclient
 from gorsefall import publish
 
 ADDR = ('127.0.0.1', 1)
@@ -49,8 +49,8 @@
 @pytest.fixture
 def log(monkeypatch):
     found = Log()
-    monkeypatch.setattr(oplog, 'append', found.append)
-    monkeypatch.setattr(oplog, 'read_all', found.read_all)
+    monkeypatch.setattr(logclient, 'append', found.append)
+    monkeypatch.setattr(logclient, 'read_all', found.read_all)
     return found
 
 
@@ -116,6 +116,6 @@
     def refuse(addr, stream, records):
         raise errors.LogServiceError('429 append rate exceeded')
 
-    monkeypatch.setattr(oplog, 'append', refuse)
+    monkeypatch.setattr(logclient, 'append', refuse)
     with pytest.raises(errors.LogServiceError, match='append rate exceeded'):
         publish.publish(ADDR, _doc(2.0))
--- a/tests/test_revocation.py
+++ b/tests/test_revocation.py
@@ -61,7 +61,7 @@
     found = _grant(_table(1, 'k'), 'k', strict=False)
     found.renew()
     assert found.account.name == 'a'
-    with pytest.raises(errors.UnprovenError):
+    with pytest.raises(errors.UnconfirmedError):
         _grant(_table(1, 'k'), 'k', strict=True).renew()
 
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -12,8 +12,8 @@
 import peers
 from gorsefall import errors
 from gorsefall import messages
-from gorsefall import oplog
-from gorsefall import streamwire
+from gorsefall import logclient
+from gorsefall import streamprotocol
 from gorsefall.entry import ledger
 from gorsefall.entry import watchers
 
@@ -28,13 +28,17 @@
 
 
 def test_a_page_is_decoded_with_its_bounds():
-    page = streamwire.page(200, PAGE, None)
+    page = streamprotocol.decode_page(200, PAGE, None)
     assert (page.start, page.end, page.expired) == (3, 5, False)
     assert page.records == [messages.StreamRecord(3, {})]
 
 
 def test_an_expired_offset_is_no_failure():
-    page = streamwire.page(410, {'start': 3, 'end': 5, 'error': {}}, None)
+    page = streamprotocol.decode_page(410, {
+        'start': 3,
+        'end': 5,
+        'error': {}
+    }, None)
     assert page.expired and page.start == 3
 
 
@@ -57,7 +61,7 @@
 ])
 def test_what_is_no_page_is_a_failure(status, obj, exc):
     with pytest.raises(errors.LogServiceError):
-        streamwire.page(status, obj, exc)
+        streamprotocol.decode_page(status, obj, exc)
 
 
 def test_a_spoilt_snapshot_leaves_the_reader_free():
@@ -95,5 +99,5 @@
         page, None
     ]])
     with pytest.raises(errors.LogServiceError):
-        oplog.read_all(peer.addr, 'catalogue')
+        logclient.read_all(peer.addr, 'catalogue')
     peer.close()
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -146,15 +146,15 @@
     site = crashing.Site(entries, replicas, seed)
     for i in range(40):
         site.loop.later(1.0 + 0.45 * i,
-                        lambda: site.ask(b'guilty', 0.0, guilty=True))
+                        lambda: site.submit(b'guilty', 0.0, poison=True))
     for i in range(400):
-        site.loop.later(0.05 * i, lambda i=i: site.ask(b'%d' % i, 0.4))
+        site.loop.later(0.05 * i, lambda i=i: site.submit(b'%d' % i, 0.4))
     site.loop.run(25.0)
     late = [
-        at for at in site.guilty_runs if at > site.guilty_runs[2] + CONTACT_S
+        at for at in site.poison_runs if at > site.poison_runs[2] + CONTACT_S
     ]
-    assert len(late) <= MOST_AFTER, site.guilty_runs
-    assert not site.good['refused'], site.good
+    assert len(late) <= MOST_AFTER, site.poison_runs
+    assert not site.good_outcomes['refused'], site.good_outcomes
 
 
 @pytest.mark.parametrize('entries, replicas, seed', [(9, 8, 1), (87, 45, 2),
@@ -164,25 +164,26 @@
     site = crashing.Site(entries, replicas, seed)
 
     def burst():
-        for replica in site.rng.sample(site.sound(), replicas // 4):
+        for replica in site.rng.sample(site.live_replicas(), replicas // 4):
             site.crash(replica)
 
     for at in (3.0, 3.4, 3.8):
         site.loop.later(at, burst)
     for i in range(600):
-        site.loop.later(0.01 * i, lambda i=i: site.ask(b'%d' % i, 0.5))
+        site.loop.later(0.01 * i, lambda i=i: site.submit(b'%d' % i, 0.5))
     site.loop.run(20.0)
     blamed = [e.crashes.suspects.blamed for e in site.entries]
     assert not any(blamed), blamed
-    assert not site.good['refused'], site.good
-    assert site.good['served'] > 500, site.good
+    assert not site.good_outcomes['refused'], site.good_outcomes
+    assert site.good_outcomes['served'] > 500, site.good_outcomes
 
 
 def test_an_entry_that_starts_asks_the_others():
     """A guilty request sent again by each entry that is replaced."""
     site = crashing.Site(9, 6, 5)
     for i in range(8):
-        site.loop.later(0.5 * i, lambda: site.ask(b'guilty', 0.0, guilty=True))
+        site.loop.later(0.5 * i,
+                        lambda: site.submit(b'guilty', 0.0, poison=True))
     site.loop.run(10.0)
     site.entries[0].start()
     site.loop.run(10.0 + 3 * site.heartbeat_s + crashing.crashes.ASK_PAUSE_S)
@@ -196,12 +197,12 @@
     for i in range(8):
         for _ in range(copies):
             site.loop.later(1.0 + 4.0 * i,
-                            lambda: site.ask(b'guilty', 0.0, guilty=True))
+                            lambda: site.submit(b'guilty', 0.0, poison=True))
     site.loop.run(40.0)
     late = [
-        at for at in site.guilty_runs if at > site.guilty_runs[2] + CONTACT_S
+        at for at in site.poison_runs if at > site.poison_runs[2] + CONTACT_S
     ]
-    assert len(late) <= MOST_AFTER, site.guilty_runs
+    assert len(late) <= MOST_AFTER, site.poison_runs
 
 
 def test_what_is_sent_as_its_replica_ends_speaks_less():
@@ -220,7 +221,7 @@
         entry.crashes.on_blamed = kept.append
     # Each of three entries sees one crash, and none hears of the others' first.
     for entry in site.entries[:3]:
-        replica = site.sound()[0]
+        replica = site.live_replicas()[0]
         run = crashes.Run(b'x', sent_at=-1.0, first_at=None)
         replica.up = False
         entry.crashes.broke(replica, run, lambda: None)
