--- a/gorsefall/emulator/crashing.py
+++ b/gorsefall/emulator/crashing.py
@@ -83,12 +83,12 @@
 
     def broadcast_status(self):
         """Tells all others what was seen here."""
-        status = membership.Status(f'e{self.number}',
-                                   1,
-                                   1,
-                                   sightings=self.crashes.told(
-                                       self.site.loop.now),
-                                   suspects=self.crashes.suspects.summary)
+        status = membership.Status(
+            f'e{self.number}',
+            1,
+            1,
+            run_reports=self.crashes.told(self.site.loop.now),
+            suspects_summary=self.crashes.suspects.summary)
         for other in self.site.entries:
             if other is not self:
                 self._send(
@@ -155,7 +155,7 @@
         known.broke(replica, run, self._after)
 
     def _after(self):
-        held = self._entry.crashes.suspects.held(self._digest)
+        held = self._entry.crashes.suspects.must_serialize(self._digest)
         if self._left and not held:
             self.dispatch()
         else:
@@ -205,7 +205,7 @@
     def _add(self):
         name = f'r{next(self._starts)}'
         record = types.SimpleNamespace(id=name,
-                                       born=0,
+                                       started_at_ms=0,
                                        status=model.ReplicaStatus.READY)
         self.replicas[name] = Replica(record)
 
