--- a/gorsefall/relay/exchange.py
+++ b/gorsefall/relay/exchange.py
@@ -87,7 +87,7 @@
 
     def _speed(self):
         """Returns the ``pace.ServiceSpeed`` of its service's replicas."""
-        return self.node.work.service(self._grant.service).speed
+        return self.node.work.service_state(self._grant.service).speed
 
     def _time_left(self):
         return self._deadline - time.monotonic()
@@ -107,7 +107,7 @@
             # Asked again before each send: while the request waited, its
             # key may have been revoked or its route moved.
             self._grant.renew()
-        if not self.node.crashes.begin(self.digest, self):
+        if not self.node.crashes.try_begin_run(self.digest, self):
             return
         choice = self._grant.choose_replica(
             self.attempts.tried,
@@ -133,7 +133,7 @@
             resume_after=self._delivery.last_event_id,
             source=choice.fetch_source)
         if self.req.prompt is not None:
-            self.node.work.prompt_sent(replica, self.req.prompt.shared)
+            self.node.work.record_prompt(replica, self.req.prompt.shared)
         self._attempt = sending.Attempt(self,
                                         replica,
                                         order,
@@ -188,8 +188,8 @@
         """Whether another replica may be asked, and there is one."""
         return (self.attempts.may_run_concurrently(self.terms) and
                 self._budget().available(time.monotonic()) >= 1 and bool(
-                    self.node.work.targets(self._grant.service,
-                                           self.attempts.tried)))
+                    self.node.work.candidate_views(self._grant.service,
+                                                   self.attempts.tried)))
 
     def _note_wait(self, attempt):
         self._start_latency().record(time.monotonic() - attempt.sent_at)
@@ -242,12 +242,12 @@
         if answer.not_run:
             self._refused(attempt, answer)
             return
-        health = attempt.replica.target
+        health = attempt.replica.view
         health.record_success()
-        attempt.replica.ended_at = None
-        self.node.crashes.ran(self.digest)
+        attempt.replica.exited_at = None
+        self.node.crashes.record_completed_run(self.digest)
         attempt.record_duration(self._speed())
-        self.node.work.answered(
+        self.node.work.record_response(
             attempt.replica, answer.status < INTERNAL_ERROR_STATUS or
             answer.status == TIMEOUT_STATUS)
         if answer.success and not answer.genuine:
@@ -269,7 +269,7 @@
     def _refused(self, attempt, answer):
         self.attempts.record_refusal()
         if answer.misdirected:
-            self.node.fleet.replaced(attempt.replica.record.id)
+            self.node.fleet.drop_replaced(attempt.replica.record.id)
         self.log.info('not_run',
                       replica=attempt.replica.record.id,
                       status=answer.status,
@@ -283,7 +283,7 @@
         """Called when an attempt ended without a whole answer."""
         self._close_attempt(attempt)
         now = time.monotonic()
-        attempt.replica.target.record_failure(now)
+        attempt.replica.view.record_failure(now)
         self.log.info('attempt_failed',
                       replica=attempt.replica.record.id,
                       reason=failure.reason,
@@ -293,11 +293,12 @@
             self.attempts.record_unreached()
             self.restart()
         elif failure.broke:
-            run = crashes.Run(self.digest,
-                              attempt.sent_at,
-                              attempt.first_at,
-                              again=len(self.attempts.replicas) > 1)
-            self.node.crashes.broke(
+            run = crashes.BrokenRun(self.digest,
+                                    attempt.sent_at,
+                                    attempt.first_at,
+                                    after_broken_run=len(self.attempts.replicas)
+                                    > 1)
+            self.node.crashes.handle_broken_run(
                 attempt.replica, run,
                 lambda: self._after_failure(attempt, failure.reason))
         else:
@@ -344,7 +345,7 @@
         if self._attempt is not None:
             attempt.conn.cancel()
             self._close_attempt(attempt)
-            attempt.replica.target.record_failure(time.monotonic())
+            attempt.replica.view.record_failure(time.monotonic())
         replica = self._copy.claim()
         if (replica is None or not self._budget().acquire(time.monotonic())):
             self.fail(
@@ -357,12 +358,10 @@
                       after=self._last_event())
         try:
             self._grant.renew()
-            if not self.node.crashes.begin(self.digest, self):
+            if not self.node.crashes.try_begin_run(self.digest, self):
                 raise self.attempts.outcome_unknown_error(
                     'another run of it is under way')
-            self._send(replica,
-                       placement.Choice(replica.target),
-                       from_copy=True)
+            self._send(replica, placement.Choice(replica.view), from_copy=True)
         except errors.GorsefallError as exc:
             self.fail(self.attempts.reportable_error(exc, str(exc), self.terms))
 
@@ -418,7 +417,7 @@
         if self._deadline_timer is not None:
             self._deadline_timer.cancel()
         self._copy.cancel_probe()
-        self.node.crashes.ended(self.digest, self)
+        self.node.crashes.end_run(self.digest, self)
         accesslog.record(self,
                          self._grant,
                          outcome,
--- a/gorsefall/relay/sending.py
+++ b/gorsefall/relay/sending.py
@@ -24,12 +24,12 @@
         self.replica = replica
         self.sent_at = time.monotonic()
         self.first_at = None
-        self._pulse = stalls.StreamMonitor(replica.target)
+        self._pulse = stalls.StreamMonitor(replica.view)
         self._choice = choice
         self.conn = None
         self.occupancy = contextlib.ExitStack()
         self.prefill_done = self.occupancy.enter_context(
-            replica.occupied(choice.prefill_tokens, writes=writes))
+            replica.in_flight(choice.prefill_tokens, decode_heavy=writes))
 
     @property
     def response_started(self):
@@ -38,7 +38,7 @@
 
     def log_sent(self, service, number):
         """Logs what decided the send; it is that ``number`` of its request."""
-        choice, target, node = (self._choice, self.replica.target,
+        choice, target, node = (self._choice, self.replica.view,
                                 self._exchange.node)
         self._exchange.log.info(
             'sent',
@@ -93,8 +93,8 @@
         if load is not None:
             self._exchange.node.record_load(self.replica, load)
         if not self._answer.misdirected:
-            self._exchange.node.announcing.answered(self.replica,
-                                                    self._answer.limit_per_s)
+            self._exchange.node.limit_tracker.record_response(
+                self.replica, self._answer.limit_per_s)
         self._exchange.on_response_head(self._answer)
 
     def on_data(self, data):
