--- a/gorsefall/emulator/crashing.py
+++ b/gorsefall/emulator/crashing.py
@@ -62,7 +62,7 @@
     def probe(self, replica, done):
         """See ``prober.ReplicaProber``."""
         verdict = prober.Verdict.ALIVE if replica.up else prober.Verdict.EXITED
-        self.site.loop.later(ONE_WAY_DELAY_S, lambda: done(verdict))
+        self.site.loop.call_later(ONE_WAY_DELAY_S, lambda: done(verdict))
 
     def send_all(self, message):
         """See ``peers.Peers``."""
@@ -96,12 +96,12 @@
                     lambda entry: entry.crashes.handle_status(
                         status, self.number), other)
         spread = self.site.rng.uniform(*peers.PAUSE_JITTER)
-        self.site.loop.later(self.site.heartbeat_s * spread,
-                             self.broadcast_status)
+        self.site.loop.call_later(self.site.heartbeat_s * spread,
+                                  self.broadcast_status)
 
     def _send(self, arrive, other):
         if self.site.rng.random() >= self.site.lost:
-            self.site.loop.later(ONE_WAY_DELAY_S, lambda: arrive(other))
+            self.site.loop.call_later(ONE_WAY_DELAY_S, lambda: arrive(other))
 
 
 class CallerRequest:
@@ -134,7 +134,7 @@
         if self._poison:
             self._site.poison_runs.append(self._sent_at)
         wait_s = CRASH_DELAY_S if self._poison else self._run_s
-        self._site.loop.later(wait_s, lambda: self._over(replica))
+        self._site.loop.call_later(wait_s, lambda: self._over(replica))
 
     def _over(self, replica):
         if self not in replica.runs:
@@ -165,7 +165,7 @@
     def _end(self, outcome):
         self._entry.crashes.end_run(self._digest, self)
         if outcome == 'failed' and self._back:
-            self._site.loop.later(CALLER_RETRY_DELAY_S, self._return)
+            self._site.loop.call_later(CALLER_RETRY_DELAY_S, self._return)
         elif not self._poison:
             self._site.good_outcomes[outcome] += 1
 
@@ -200,8 +200,8 @@
             self._add()
         self.entries = [Entry(self, i) for i in range(entries)]
         for entry in self.entries:
-            self.loop.later(self.rng.uniform(0, self.heartbeat_s),
-                            entry.broadcast_status)
+            self.loop.call_later(self.rng.uniform(0, self.heartbeat_s),
+                                 entry.broadcast_status)
 
     def _add(self):
         name = f'r{next(self._starts)}'
@@ -222,7 +222,7 @@
         """Ends a replica, with all that runs there."""
         replica.up = False
         runs, replica.runs = replica.runs, set()
-        self.loop.later(REPLICA_RESTART_S, lambda: self._back(replica))
+        self.loop.call_later(REPLICA_RESTART_S, lambda: self._back(replica))
         for run in sorted(runs, key=id):
             run.on_replica_exit(replica)
 
--- a/gorsefall/relay/node.py
+++ b/gorsefall/relay/node.py
@@ -128,7 +128,7 @@
         self._remembered.start(
             lambda: self._reads.is_reader,
             self._peers.heartbeat_s if self._peers else lambda: 0.0)
-        self.loop.later(SETTINGS_POLL_S, self._look_at_settings)
+        self.loop.call_later(SETTINGS_POLL_S, self._look_at_settings)
         self.log.info('started',
                       zone=self.cfg.zone,
                       callers=self.cfg.callers,
@@ -274,7 +274,7 @@
         return stat.st_mtime_ns, stat.st_size, stat.st_ino
 
     def _look_at_settings(self):
-        self.loop.later(SETTINGS_POLL_S, self._look_at_settings)
+        self.loop.call_later(SETTINGS_POLL_S, self._look_at_settings)
         stamp = self._settings_stamp()
         if stamp != self._settings_seen:
             self._settings_seen = stamp
@@ -319,7 +319,7 @@
 
     def on_drain(self):
         """See ``daemon.Daemon``."""
-        self.loop.later(LAME_DUCK_S, self._refuse_channels)
+        self.loop.call_later(LAME_DUCK_S, self._refuse_channels)
 
     def _refuse_channels(self):
         # A request taken late may outlast the grace time and be cut. A
@@ -340,7 +340,7 @@
                 now, self.in_flight or self._callers.has_unsent()):
             self._finish()
             return
-        self.loop.later(DRAIN_POLL_S, self._check_drained)
+        self.loop.call_later(DRAIN_POLL_S, self._check_drained)
 
     def _finish(self):
         # From here to the exit nothing more may be read: a request that is
@@ -358,6 +358,6 @@
     """
     node = Node(path, adapter)
     signal.signal(signal.SIGHUP,
-                  lambda signo, stack: node.loop.later(0, node._reload))
+                  lambda signo, stack: node.loop.call_later(0, node._reload))
     node.start()
     node.run()
