--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -91,7 +91,7 @@
     assert tracked.in_doubt == ['a']
 
 
-class _Refusing(serving.Serving):
+class _Refusing(serving.ActiveRequest):
     """A request with one attempt, whose next attempt is refused locally."""
 
     def __init__(self, error, *, repeatable):
@@ -108,17 +108,17 @@
     def send_next(self):
         raise self._error
 
-    def tell(self, exc):
+    def send_error(self, exc):
         self.reported = exc
         return 'told'
 
-    def note_end(self, outcome, exc):
+    def record_end(self, outcome, exc):
         pass
 
 
 @pytest.mark.parametrize('repeatable', [True, False])
 @pytest.mark.parametrize('error', [
-    errors.UnprovenError('old'),
+    errors.UnconfirmedError('old'),
     errors.ShedError('late'),
     errors.NoReplicaError('none')
 ])
@@ -126,6 +126,6 @@
         error, repeatable):
     """A request that ran gets a 503 because its next attempt is refused."""
     request = _Refusing(error, repeatable=repeatable)
-    request.again('silent')
-    request.go_on()
+    request.retry('silent')
+    request.dispatch()
     assert isinstance(request.reported, errors.OutcomeUnknownError)
--- a/tests/test_fetching.py
+++ b/tests/test_fetching.py
@@ -77,8 +77,8 @@
     """Dossiers of 9,000 tokens arrive at 2.3 times their rate beside long
     responses: load of the valuation desk, 6 seeds, 0.89 of the worth against
     0.855 without fetching."""
-    burst = loads.VALUATION.busier(dossier=2.3)
+    burst = loads.VALUATION.with_rates_scaled(dossier=2.3)
     fetching = loads.means(burst)
-    prefilling = loads.means(burst.changed(fetch_ms=0.0))
+    prefilling = loads.means(burst.with_fields(fetch_ms=0.0))
     assert fetching.worth > prefilling.worth + 0.02
     assert fetching.on_time['dossier'] > prefilling.on_time['dossier']
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -16,7 +16,7 @@
 
 
 def _means(load, policy, engines):
-    return loads.means(load.changed(count=engines), policy)
+    return loads.means(load.with_fields(count=engines), policy)
 
 
 def test_a_flight_bank_beside_a_lost_engine():
@@ -57,7 +57,8 @@
     seeds: advice on time in 0.95 and 0.87 of cases against 0.86 and 0.47, worth
     0.52 and 0.31 against 0.48 and 0.25 without reports between entries; with
     reports 0.97 and 0.85 against 0.91 and 0.51, worth 0.72 and 0.21 against
-    0.73 and 0.15. """
+    0.73 and 0.15.
+    """
     kinds = loads.AUTHORITY
     after = {n: _means(kinds, policies.placed, n) for n in (1, 2)}
     monkeypatch.setattr(overload.RankStats, 'queue_limit_ms',
@@ -240,10 +241,11 @@
     0.03 on, the noise of these figures.
     """
     usual = loads.VALUATION
-    for load, more in ((usual, 0.01), (usual.busier(query=2.2), 0.03),
-                       (usual.busier(dossier=2.3), 0.03)):
+    for load, more in ((usual, 0.01), (usual.with_rates_scaled(query=2.2),
+                                       0.03),
+                       (usual.with_rates_scaled(dossier=2.3), 0.03)):
         reporting = loads.means(load)
-        silent = loads.means(load.changed(exchange_ms=0.0))
+        silent = loads.means(load.with_fields(exchange_ms=0.0))
         assert reporting.worth > silent.worth + more
         assert reporting.on_time['query'] > 0.9
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -39,8 +39,9 @@
     between entries, 6 seeds, chats are on time in 0.59 of cases without
     ``REPEATED_PREFILL_WEIGHT``, digests in 0.65. With it they have to be 0.2
     and 0.1 above that, and it has to increase the worth with reports between
-    entries as well, where no prompt can be fetched. """
-    bank = loads.FLIGHT_BANK.changed(fetch_ms=0.0)
+    entries as well, where no prompt can be fetched.
+    """
+    bank = loads.FLIGHT_BANK.with_fields(fetch_ms=0.0)
     after = loads.means(bank, policies.unrefused).on_time
     worth = loads.means(bank).worth
     monkeypatch.setattr(costs, 'REPEATED_PREFILL_WEIGHT', 0.0)
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -148,15 +148,15 @@
     site = crashing.Site(entries, replicas, seed)
     for i in range(40):
         site.loop.call_later(1.0 + 0.45 * i,
-                             lambda: site.ask(b'guilty', 0.0, guilty=True))
+                             lambda: site.submit(b'guilty', 0.0, poison=True))
     for i in range(400):
-        site.loop.call_later(0.05 * i, lambda i=i: site.ask(b'%d' % i, 0.4))
+        site.loop.call_later(0.05 * i, lambda i=i: site.submit(b'%d' % i, 0.4))
     site.loop.run(25.0)
     late = [
-        at for at in site.guilty_runs if at > site.guilty_runs[2] + CONTACT_S
+        at for at in site.poison_runs if at > site.poison_runs[2] + CONTACT_S
     ]
-    assert len(late) <= MAX_RUNS_AFTER_CONTACT, site.guilty_runs
-    assert not site.good['refused'], site.good
+    assert len(late) <= MAX_RUNS_AFTER_CONTACT, site.poison_runs
+    assert not site.good_outcomes['refused'], site.good_outcomes
 
 
 @pytest.mark.parametrize('entries, replicas, seed', [(9, 8, 1), (87, 45, 2),
@@ -167,18 +167,18 @@
     site = crashing.Site(entries, replicas, seed)
 
     def burst():
-        for replica in site.rng.sample(site.sound(), replicas // 4):
+        for replica in site.rng.sample(site.live_replicas(), replicas // 4):
             site.crash(replica)
 
     for at in (3.0, 3.4, 3.8):
         site.loop.call_later(at, burst)
     for i in range(600):
-        site.loop.call_later(0.01 * i, lambda i=i: site.ask(b'%d' % i, 0.5))
+        site.loop.call_later(0.01 * i, lambda i=i: site.submit(b'%d' % i, 0.5))
     site.loop.run(20.0)
     blocked = [e.crashes.suspects.poison_requests for e in site.entries]
     assert not any(blocked), blocked
-    assert not site.good['refused'], site.good
-    assert site.good['served'] > 500, site.good
+    assert not site.good_outcomes['refused'], site.good_outcomes
+    assert site.good_outcomes['served'] > 500, site.good_outcomes
 
 
 def test_a_starting_entry_queries_the_others():
@@ -186,7 +186,7 @@
     site = crashing.Site(9, 6, 5)
     for i in range(8):
         site.loop.call_later(0.5 * i,
-                             lambda: site.ask(b'guilty', 0.0, guilty=True))
+                             lambda: site.submit(b'guilty', 0.0, poison=True))
     site.loop.run(10.0)
     site.entries[0].start()
     site.loop.run(10.0 + 3 * site.heartbeat_s +
@@ -200,13 +200,13 @@
     site = crashing.Site(9, 8, copies)
     for i in range(8):
         for _ in range(copies):
-            site.loop.call_later(1.0 + 4.0 * i,
-                                 lambda: site.ask(b'guilty', 0.0, guilty=True))
+            site.loop.call_later(
+                1.0 + 4.0 * i, lambda: site.submit(b'guilty', 0.0, poison=True))
     site.loop.run(40.0)
     late = [
-        at for at in site.guilty_runs if at > site.guilty_runs[2] + CONTACT_S
+        at for at in site.poison_runs if at > site.poison_runs[2] + CONTACT_S
     ]
-    assert len(late) <= MAX_RUNS_AFTER_CONTACT, site.guilty_runs
+    assert len(late) <= MAX_RUNS_AFTER_CONTACT, site.poison_runs
 
 
 def test_an_attempt_during_an_exit_weighs_less():
@@ -230,7 +230,7 @@
         entry.crashes.on_poison_request = stored.append
     # Each of three entries observes one crash before it receives the others.
     for entry in site.entries[:3]:
-        replica = site.sound()[0]
+        replica = site.live_replicas()[0]
         run = crashes.BrokenRun(b'x', sent_at=-1.0, first_event_at=None)
         replica.up = False
         entry.crashes.handle_broken_run(replica, run, lambda: None)
