--- a/gorsefall/relay/changes.py
+++ b/gorsefall/relay/changes.py
@@ -1,4 +1,4 @@
-"""The latest changes of a topic, to be told to entries that do not read it."""
+"""Recent changes of a topic, to send to entries that do not read the store."""
 
 import typing
 import zlib
@@ -8,19 +8,19 @@
 from gorsefall import errors
 
 MAX_RETAINED_BYTES = 65536
-"""Most bytes of changes kept, packed: some hundred replicas' records and a
-configuration."""
+"""Most bytes of compressed changes retained: some hundred replicas' records
+and a configuration."""
 
 MAX_SENT_BYTES = 6000
-"""Most bytes of changes told at once, packed. An entry tells forty others,
-over a link that carries its callers' streams too; what is larger each reads
-from the store for itself."""
+"""Most bytes of compressed changes sent at once. An entry sends them to forty
+others over a link that also carries its callers' streams; an entry that missed
+more reads the store itself."""
 
 MAX_SENT_BYTES_CUT_OFF = 48000
-"""The same for an entry that does not reach the store; fits in a datagram."""
+"""The same for an entry that cannot reach the store; fits in a datagram."""
 
 MAX_UNPACKED_BYTES = 1 << 22
-"""Longest record that is unpacked, bytes."""
+"""Most bytes to which a record's value is decompressed."""
 
 
 class Record(typing.NamedTuple):
@@ -29,9 +29,9 @@
     Attributes:
         key: Its key.
         value: Its bytes; empty when the key was dropped.
-        offset: Its place in the topic.
-        whole: Whether the store's client could take it apart; what is not
-            whole has no value, but its key was not dropped.
+        offset: Its offset in the topic.
+        well_formed: Whether the store's client could parse it. A record that
+            is not well-formed has no value, but its key was not dropped.
     """
     key: str
     value: bytes
@@ -40,13 +40,13 @@
 
 
 class Change(typing.NamedTuple):
-    """A record as it is told.
+    """A record as it is sent to other entries.
 
     Attributes:
         key: See ``Record``.
-        packed: Its value, compressed.
+        packed: Its compressed value.
         offset: See ``Record``.
-        whole: See ``Record``.
+        well_formed: See ``Record``.
     """
     key: str
     packed: bytes
@@ -55,7 +55,7 @@
 
     @property
     def size(self):
-        """Bytes that it takes in a message, about."""
+        """Approximate size in a message, bytes."""
         return len(self.key) + len(self.packed)
 
 
@@ -77,19 +77,21 @@
     except zlib.error as exc:
         raise errors.RecordError(f'{change.key}: {exc}') from exc
     if not stream.eof:
-        raise errors.RecordError(f'{change.key}: too long, or cut short')
+        raise errors.RecordError(
+            f'{change.key}: compressed value is truncated or too long')
     return Record(change.key, value, change.offset, change.well_formed)
 
 
 class ChangeSet(msgspec.Struct, frozen=True, array_like=True):
-    """What an entry knows of a topic that another one may have missed.
+    """Changes of a topic that another entry may have missed.
 
     Attributes:
-        age_s: Age of its newest confirmed read, s.
-        end: Offset after the last record that it knows.
-        changes: The newest ``Change`` of each key since the other's offset,
+        age_s: Age of the sender's newest confirmed read, s.
+        end: Offset after the last record that the sender has read.
+        changes: The newest ``Change`` of each key since the receiver's offset,
             oldest first.
-        whole: Whether they are all; otherwise the store has to be read.
+        complete: Whether these are all changes; if not, the receiver has to
+            read the store.
     """
     age_s: typing.Annotated[float, msgspec.Meta(ge=0.0)]
     end: typing.Annotated[int, msgspec.Meta(ge=0)]
@@ -98,7 +100,7 @@
 
 
 class RecentChanges:
-    """The newest change of each key from some offset on, as far as kept."""
+    """The newest change of each key; the oldest changes are discarded."""
 
     def __init__(self):
         self._changes = {}
@@ -106,13 +108,13 @@
         self._size = 0
 
     def reset(self, offset):
-        """Forgets all; nothing is known of changes before ``offset``."""
+        """Discards all changes; later ones start at ``offset``."""
         self._changes.clear()
         self._size = 0
         self._since = offset
 
     def add(self, record):
-        """Notes a change; one of a key stands in place of earlier ones."""
+        """Adds a change, in place of an earlier one of its key."""
         change = pack(record)
         earlier = self._changes.pop(record.key, None)
         self._size += change.size - (earlier.size if earlier else 0)
@@ -122,16 +124,16 @@
             self._size -= oldest.size
             self._since = oldest.offset + 1
 
-    def changes_since(self, offset, age_s, end, most_bytes=MAX_SENT_BYTES):
-        """Returns the ``News`` for an entry that knows all before ``offset``.
+    def changes_since(self, offset, age_s, end, max_bytes=MAX_SENT_BYTES):
+        """Returns the ``ChangeSet`` for an entry that is at ``offset``.
 
         Args:
-            offset: Where that entry would read on.
+            offset: Offset from which that entry would read.
             age_s: Age of the newest confirmed read, s.
-            end: Offset after the last record known.
-            most_bytes: Most bytes of changes to tell.
+            end: Offset after the last record read here.
+            max_bytes: Most bytes of changes to send.
         """
         changes = tuple(c for c in self._changes.values() if c.offset >= offset)
-        if (offset < self._since or sum(c.size for c in changes) > most_bytes):
+        if (offset < self._since or sum(c.size for c in changes) > max_bytes):
             return ChangeSet(age_s, end, complete=False)
         return ChangeSet(age_s, end, changes)
--- a/gorsefall/relay/messages.py
+++ b/gorsefall/relay/messages.py
@@ -1,4 +1,4 @@
-"""What entries say to each other, one datagram a message."""
+"""Messages between entries, one datagram each."""
 
 import typing
 
@@ -8,17 +8,17 @@
 from gorsefall.relay import changes
 
 Offsets = dict[str, typing.Annotated[int, msgspec.Meta(ge=0)]]
-"""Offset of each topic up to which all is known."""
+"""For each topic, the offset after the last record that was read."""
 
 
 class Ask(msgspec.Struct, frozen=True, array_like=True, tag='ask'):
-    """Asks what is known of the store's topics.
+    """Queries the changes of the store's topics.
 
     Attributes:
-        query_id: Names the question; drawn at random.
-        store: ``host:port`` of the asker's store; offsets are its own.
-        offsets: Offsets that the asker would read from.
-        store_unreachable: Whether it does not reach the store.
+        query_id: Identifies the query; drawn at random.
+        store: ``host:port`` of the sender's store, to which offsets refer.
+        offsets: Offsets that the sender would read from.
+        store_unreachable: Whether the sender cannot reach the store.
     """
     query_id: int
     store: str
@@ -27,19 +27,19 @@
 
 
 class Told(msgspec.Struct, frozen=True, array_like=True, tag='told'):
-    """Answers an ``Ask``.
+    """The response to an ``Ask``.
 
     Attributes:
-        query_id: That of the question.
-        topic_changes: ``topic -> changes.ChangeSet``; unknown topics are left
-            out.
+        query_id: That of the query.
+        topic_changes: ``topic -> changes.ChangeSet``; topics that the sender
+            has not read are left out.
     """
     query_id: int
     topic_changes: dict[str, changes.ChangeSet]
 
 
 class Hint(msgspec.Struct, frozen=True, array_like=True, tag='hint'):
-    """Says that there is something to ask for; proves nothing.
+    """Announces that topics have changed; does not confirm any state.
 
     Attributes:
         store: ``host:port`` of the store.
@@ -50,7 +50,7 @@
 
 
 class Suspects(msgspec.Struct, frozen=True, array_like=True, tag='suspects'):
-    """Tells of requests under which replicas crashed.
+    """Reports runs of requests under which replicas crashed.
 
     Attributes:
         run_reports: The ``membership.RunReport`` objects.
@@ -62,7 +62,7 @@
                   frozen=True,
                   array_like=True,
                   tag='ask-suspects'):
-    """Asks for the gravest ``Suspects``."""
+    """Requests the ``Suspects`` with the highest weights."""
 
 
 Message = membership.Status | Ask | Told | Hint | Suspects | AskSuspects
@@ -80,6 +80,6 @@
     """Returns the message of a datagram.
 
     Raises:
-        msgspec.DecodeError: It is no message of an entry.
+        msgspec.DecodeError: It is not a message of an entry.
     """
     return _DECODER.decode(data)
--- a/gorsefall/relay/topic.py
+++ b/gorsefall/relay/topic.py
@@ -1,7 +1,8 @@
-"""Following a topic that keeps the newest record of each key.
+"""Follows a topic of the store that keeps the newest record of each key.
 
-A follower that leads reads the store again and again. One that does not is
-told by another entry what it missed, and reads the store only when asked to.
+A follower that reads continuously keeps reading the store. Any other follower
+receives the changes that it missed from another entry and reads the store only
+when ``read_once`` is called.
 """
 
 import functools
@@ -13,31 +14,32 @@
 from gorsefall.relay import changes
 
 SILENCE_TIMEOUT_S = 0.9
-"""Longest time without a byte of an answer beyond the wait asked for, s. The
-store answers in 4 ms, at times 60 times as slowly; a silent channel shows only
-by this, and two such waits stay well under the proof's bound."""
+"""Longest time without a byte of a response, beyond the requested wait, s. The
+store responds in 4 ms, at times 60 times as slowly. A dead connection shows
+only by this timeout, and two of them stay well below the bound on the age of a
+confirmation."""
 
 RETRY_PAUSE_RANGE_S = (0.05, 0.2)
-"""Range of the pause after a failed call, s; spread, so that entries that
-lost the store together do not return together."""
+"""Range of the pause after a failed call, s. It is random so that entries that
+lost the store together do not return to it together."""
 
 MAX_RETRY_PAUSE_S = 0.5
-"""Longest pause after failures in a row, s."""
+"""Longest pause after consecutive failures, s."""
 
 MAX_READ_KB = 1024
 """Most data of one read, KB: the heartbeats of thousands of replicas between
 two reads."""
 
 MAX_PASSIVE_READ_ATTEMPTS = 2
-"""Reads that a follower which does not lead tries, one soon after another."""
+"""Attempts of a read by a follower that does not read continuously."""
 
 RECORD_LAPSE_S = 3.0
 """Time between two confirmations after which records may have lapsed, s: three
 heartbeats of a replica, each longer than a second."""
 
 MAX_LOGGED_FAULTS = 1000
-"""Keys whose faults are remembered: a few times the replicas of today, a
-record's cause being some 100 bytes."""
+"""Most keys whose last fault is remembered: a few times the number of replicas
+of a large deployment, at some 100 bytes each."""
 
 
 class SnapshotPage(typing.NamedTuple):
@@ -67,14 +69,14 @@
 
 
 class Source:
-    """The seam to the store: reads of one keyed topic.
+    """Interface to the store: reads and appends of one keyed topic.
 
-    ``done(result, exc)`` gets the result or an ``errors.StoreError``. A read
-    is given up after ``silence_s`` without a byte, not by how long it takes.
+    ``done(result, exc)`` receives the result or an ``errors.StoreError``. A
+    call times out after ``silence_s`` without a byte, whatever its duration.
     """
 
     def read_snapshot(self, after, silence_s, done):
-        """Reads a page of newest records, after the key ``after``."""
+        """Reads a page of the newest records, after the key ``after``."""
         raise NotImplementedError
 
     def append(self, key, value, silence_s, done):
@@ -84,13 +86,14 @@
     def read(self, offset, wait_s, max_kb, silence_s, done):
         """Reads from ``offset``, waiting up to ``wait_s`` for a record.
 
-        The answer holds ``max_kb`` KB of records, or one that is larger.
+        The response holds up to ``max_kb`` KB of records, or a single larger
+        one.
         """
         raise NotImplementedError
 
 
 class Listener:
-    """Is told what a follower learns; subclasses override what they need."""
+    """Receives what a follower reads; subclasses override what they need."""
 
     def on_snapshot(self, records):
         """Called with the newest record of every key."""
@@ -99,19 +102,19 @@
         """Called with each later record.
 
         Returns:
-            Whether it changes what is believed. A heartbeat does not, and is
-            not passed on to entries that do not read for themselves.
+            Whether it changes the observed state. A heartbeat does not, and is
+            not sent to entries that do not read the store themselves.
         """
         return True
 
     def on_confirmed(self, sent_at):
-        """Called when all up to a read sent at ``sent_at`` is known."""
+        """Called when all records as of ``sent_at``, s, have been read."""
 
     def on_store_lost(self):
-        """Called once when the store stops answering."""
+        """Called once when the store stops responding."""
 
     def on_store_regained(self):
-        """Called once when it answers again."""
+        """Called once when the store responds again."""
 
 
 class ReadPace(typing.NamedTuple):
@@ -128,13 +131,14 @@
     def max_confirmation_age_s(self):
         """Age of a confirmation just before the next one, s.
 
-        What a read confirms is as old as the read, which waits.
+        A confirmation dates from when its read was sent, and the read waits at
+        the store.
         """
         return 2 * self.wait_s + self.pause_s
 
 
 CONTINUOUS_READS = ReadPace()
-"""Reads one after the other."""
+"""Each read is sent as soon as the one before has returned."""
 
 
 class Follower:
@@ -142,12 +146,13 @@
 
     Attributes:
         offset: Offset the next read starts from.
-        confirmed_at: When the newest read that confirmed all was sent, s
-            (``freshness.clock``), here or at another entry.
-        listed: Whether the topic was listed once.
-        unreached: Own reads that failed since one was answered.
-        pace: The ``Pace`` of its reads while it leads.
-        recent: The ``changes.RecentChanges`` that others may be told.
+        confirmed_at: When the newest read that returned all records was sent,
+            s (``freshness.clock``), by this entry or another one.
+        has_snapshot: Whether a snapshot was read.
+        failed_reads: Own reads that failed since the last success.
+        pace: The ``ReadPace`` of its continuous reads.
+        recent: The ``changes.RecentChanges`` that can be sent to other
+            entries.
     """
 
     def __init__(self,
@@ -159,33 +164,34 @@
                  pace=CONTINUOUS_READS,
                  max_kb=MAX_READ_KB,
                  on_change=lambda: None):
-        """Creates a follower that leads; ``start`` begins.
+        """Creates a follower that reads continuously; ``start`` begins.
 
         Args:
             loop: The ``reactor.Reactor``.
             source: The ``Source``.
             listener: The ``Listener``.
             name: Name for logs.
-            pace: Its ``Pace``.
-            max_kb: Most data of one read, KB. What is new beyond that is
-                listed, so that only the newest of each key is fetched.
-            on_change: Called after a read that changed what is believed.
+            pace: Its ``ReadPace``.
+            max_kb: Most data of one read, KB. If more is new, a snapshot is
+                read instead, so that only the newest record of each key is
+                transferred.
+            on_change: Called after a read that changed the observed state.
         """
         self._loop = loop
         self._source = source
         self._listener = listener
-        self._most_kb = max_kb
-        self._on_news = on_change
-        self._leads = True
-        self._turn = 0
+        self._max_kb = max_kb
+        self._on_change = on_change
+        self._continuous = True
+        self._read_number = 0
         self._idle = False
-        self._listed = {}
-        self._after = ''
-        self._end = None
+        self._snapshot = {}
+        self._snapshot_after = ''
+        self._snapshot_end = None
         self._failures = 0
-        self._overdue = False
+        self._last_read_slow = False
         self._sent_at = None
-        self._newest_seen = {}
+        self._newest_offsets = {}
         self._stopped = False
         self._log = logs.get('follower').bind(topic=name)
         self.pace = pace
@@ -196,114 +202,117 @@
         self.recent = changes.RecentChanges()
 
     def start(self):
-        """Begins with a listing."""
-        self._list('')
+        """Begins by reading a snapshot."""
+        self._read_snapshot('')
 
     def stop(self):
-        """Ends for good; answers that are still to come are passed over."""
+        """Stops for good; responses still on their way are ignored."""
         self._stopped = True
 
     def age_s(self):
         """Returns the age of the newest confirmation, s."""
         return freshness.clock() - self.confirmed_at
 
-    def changes_since(self, offset, most_bytes=changes.MAX_SENT_BYTES):
-        """Returns the ``changes.ChangeSet`` for one who knows all before it."""
+    def changes_since(self, offset, max_bytes=changes.MAX_SENT_BYTES):
+        """Returns the ``changes.ChangeSet`` for a follower at ``offset``."""
         return self.recent.changes_since(offset, max(0.0, self.age_s()),
-                                         self.offset, most_bytes)
+                                         self.offset, max_bytes)
 
-    # -- reading by itself or being told ---------------------------------------
+    # -- own reads and changes from other entries ------------------------------
 
-    def set_continuous(self, leads):
-        """Says whether to read again and again."""
-        self._leads = leads
-        if leads:
+    def set_continuous(self, continuous):
+        """Sets whether to read the store continuously."""
+        self._continuous = continuous
+        if continuous:
             self.read_once()
 
     def read_once(self):
-        """Reads now, unless a read is under way."""
+        """Reads now, unless a read is in progress."""
         if self._idle:
             self._idle = False
             self._read()
 
-    def apply_changes(self, sent_at, news):
-        """Takes in what another entry knows.
+    def apply_changes(self, sent_at, change_set):
+        """Applies changes that another entry has read.
 
         Args:
             sent_at: When that entry's newest read was sent at the earliest,
                 s (``freshness.clock``).
-            news: Its ``changes.ChangeSet`` since ``offset``, whole.
+            change_set: Its complete ``changes.ChangeSet`` since ``offset``.
 
         Raises:
-            errors.RecordError: It cannot be unpacked; nothing is taken in.
+            errors.RecordError: It cannot be unpacked; nothing was applied.
         """
-        if self._leads or not self.has_snapshot:
+        if self._continuous or not self.has_snapshot:
             return
-        records = [changes.unpack(c) for c in news.changes]
-        # An own read that is under way is older: a listing among them would
-        # take back what was just told.
-        self._turn += 1
+        records = [changes.unpack(c) for c in change_set.changes]
+        # An own read in progress is older, and its response is ignored: a
+        # snapshot would revert what is applied here.
+        self._read_number += 1
         self._idle = True
         if sent_at - self.confirmed_at > RECORD_LAPSE_S:
-            # Whoever reads was without the store, and so were the replicas,
-            # whose records may have lapsed though they live.
-            self._lost('not confirmed for long')
-        self._answered()
+            # The entry that reads could not reach the store in that time.
+            # Nor could the replicas, so records of live replicas may have
+            # lapsed.
+            self._record_failure('not confirmed for long')
+        self._record_success()
         for record in records:
-            self._take(record)
-        self.offset = max(self.offset, news.end)
-        self._confirmed(sent_at)
+            self._apply(record)
+        self.offset = max(self.offset, change_set.end)
+        self._confirm(sent_at)
 
     # -- reads -----------------------------------------------------------------
 
     def _expect(self, handler):
-        """Returns the callback of a read; of the last one begun only."""
-        self._turn += 1
-        return functools.partial(self._came, self._turn, handler)
+        """Returns the callback of a read; of the newest one only."""
+        self._read_number += 1
+        return functools.partial(self._on_result, self._read_number, handler)
 
-    def _came(self, turn, handler, result, exc):
-        if not self._stopped and turn == self._turn:
+    def _on_result(self, number, handler, result, exc):
+        if not self._stopped and number == self._read_number:
             handler(result, exc)
 
-    def _list(self, after):
+    def _read_snapshot(self, after):
         if self._stopped:
             return
-        self._after = after
+        self._snapshot_after = after
         if not after:
-            self._listed = {}
-            self._end = None
+            self._snapshot = {}
+            self._snapshot_end = None
             self._sent_at = freshness.clock()
         self._source.read_snapshot(after, SILENCE_TIMEOUT_S,
-                                   self._expect(self._on_newest))
+                                   self._expect(self._on_snapshot_page))
 
-    def _on_newest(self, page, exc):
+    def _on_snapshot_page(self, page, exc):
         if exc is not None:
-            # On from this page: begun anew, a listing of several would
-            # seldom be whole beside a store that loses answers.
-            self._failed(exc, lambda: self._list(self._after))
+            # Retries this page only: if each failure restarted the snapshot,
+            # one of several pages would rarely complete while the store loses
+            # responses.
+            self._retry_later(exc,
+                              lambda: self._read_snapshot(self._snapshot_after))
             return
-        if self._end is None:
-            # Pages are read one after the other; reading on from the first
-            # page's end passes over nothing that changed meanwhile.
-            self._end = page.end
+        if self._snapshot_end is None:
+            # Pages are read one after the other. Reading on from the end as
+            # of the first page includes all changes since.
+            self._snapshot_end = page.end
         for record in page.records:
-            self._listed[record.key] = record
+            self._snapshot[record.key] = record
         if page.more and page.records:
-            self._list(page.records[-1].key)
+            self._read_snapshot(page.records[-1].key)
             return
         self.failed_reads = 0
-        self._answered()
+        self._record_success()
         self.has_snapshot = True
-        self.offset = self._end
+        self.offset = self._snapshot_end
         self.recent.reset(self.offset)
         records = [
-            r for r in self._listed.values() if r.value or not r.well_formed
+            r for r in self._snapshot.values() if r.value or not r.well_formed
         ]
         self._log.info('listed', keys=len(records), offset=self.offset)
         self._listener.on_snapshot([r for r in records if self._is_new(r)])
-        self._confirmed(self._sent_at)
-        self._on_news()
-        if self._leads:
+        self._confirm(self._sent_at)
+        self._on_change()
+        if self._continuous:
             self._read()
         else:
             self._idle = True
@@ -311,59 +320,60 @@
     def _read(self):
         if self._stopped:
             return
-        # After a failure the first read does not wait: it tells at once
-        # that the store is back, and renews the proof as much sooner. Nor
-        # after an answer that took long, as it proves only what was true
-        # when it was asked for.
-        waits = self._leads and not self._failures and not self._overdue
+        # The first read after a failure does not wait, so that it shows at
+        # once that the store is back and renews the confirmation. Nor does
+        # the read after a slow response, which confirms only the state of
+        # when it was requested.
+        waits = (self._continuous and not self._failures and
+                 not self._last_read_slow)
         self._sent_at = freshness.clock()
         self._source.read(self.offset, self.pace.wait_s if waits else 0.0,
-                          self._most_kb, SILENCE_TIMEOUT_S,
+                          self._max_kb, SILENCE_TIMEOUT_S,
                           self._expect(self._on_batch))
 
     def _on_batch(self, batch, exc):
         if exc is not None:
             if exc.forgotten:
                 self._log.info('history_forgotten', offset=self.offset)
-                self._list('')
+                self._read_snapshot('')
                 return
-            self._failed(exc, self._read)
+            self._retry_later(exc, self._read)
             return
         self.failed_reads = 0
-        self._answered()
-        changed = [self._take(record) for record in batch.records]
+        self._record_success()
+        changed = [self._apply(record) for record in batch.records]
         self.offset = max(self.offset, batch.next)
         if self.offset < batch.end:
-            # A read holds only so much. Confirmed now, an old configuration
-            # would let in keys that a newer one takes away. Versions between
-            # are passed over: on a slow link each takes as long as the
-            # newest, which comes into force late behind them.
-            self._list('')
+            # The read did not return all records. Confirming now would let
+            # an old configuration accept keys that a newer one revokes. A
+            # snapshot skips the versions in between: on a slow link each
+            # takes as long as the newest one and would delay it.
+            self._read_snapshot('')
             return
-        self._confirmed(self._sent_at)
+        self._confirm(self._sent_at)
         if any(changed):
-            self._on_news()
-        self._go_on()
+            self._on_change()
+        self._schedule_read()
 
-    def _go_on(self):
-        if not self._leads:
+    def _schedule_read(self):
+        if not self._continuous:
             self._idle = True
         elif self.pace.pause_s:
             self._loop.later(self.pace.pause_s,
-                             functools.partial(self._resume, self._turn))
+                             functools.partial(self._resume, self._read_number))
         else:
             self._read()
 
-    def _resume(self, turn):
-        if turn != self._turn:
+    def _resume(self, number):
+        if number != self._read_number:
             return
-        if self._leads:
+        if self._continuous:
             self._read()
         else:
             self._idle = True
 
-    def _take(self, record):
-        """Takes in a record; returns whether it changed what is believed."""
+    def _apply(self, record):
+        """Applies a record; returns whether it changed the observed state."""
         if not self._is_new(record):
             return False
         changed = self._listener.on_record(record)
@@ -371,70 +381,72 @@
             self.recent.add(record)
         return changed
 
-    def _confirmed(self, sent_at):
+    def _confirm(self, sent_at):
         took_s = freshness.clock() - sent_at
-        self._overdue = took_s > self.pace.wait_s + SILENCE_TIMEOUT_S
+        self._last_read_slow = took_s > self.pace.wait_s + SILENCE_TIMEOUT_S
         self.confirmed_at = max(self.confirmed_at, sent_at)
         self._listener.on_confirmed(sent_at)
 
     def _is_new(self, record):
-        # Answers may come late and listings overlap reads; what is known of
-        # a key only goes forward.
-        if record.offset < self._newest_seen.get(record.key, 0):
+        # Responses may be late and snapshots overlap reads; a record must
+        # not replace a newer one of its key.
+        if record.offset < self._newest_offsets.get(record.key, 0):
             return False
-        self._newest_seen[record.key] = record.offset
+        self._newest_offsets[record.key] = record.offset
         return True
 
-    def _answered(self):
+    def _record_success(self):
         if self._failures:
             self._log.info('store_regained', failures=self._failures)
             self._failures = 0
             self._listener.on_store_regained()
 
-    def _lost(self, error):
+    def _record_failure(self, error):
         if not self._failures:
             self._log.warning('store_lost', error=error)
             self._listener.on_store_lost()
         self._failures += 1
 
-    def _failed(self, exc, again):
+    def _retry_later(self, exc, retry):
         self.failed_reads += 1
-        self._lost(str(exc))
-        if (not self._leads and self.has_snapshot and
+        self._record_failure(str(exc))
+        if (not self._continuous and self.has_snapshot and
                 self.failed_reads >= MAX_PASSIVE_READ_ATTEMPTS):
-            # Others try on for all; told by them, it need not.
+            # The entries that read continuously keep trying, and send what
+            # they read.
             self._idle = True
             return
         pause = min(MAX_RETRY_PAUSE_S,
                     random.uniform(*RETRY_PAUSE_RANGE_S) * self._failures)
-        turn = self._turn
-        self._loop.later(pause, lambda: again() if turn == self._turn else None)
+        number = self._read_number
+        self._loop.later(
+            pause, lambda: retry() if number == self._read_number else None)
 
 
 class MalformedRecords:
-    """Logs records that cannot be decoded, once for each key and cause.
+    """Logs records that cannot be decoded, once for each key and error.
 
-    A writer at fault writes again and again, and a line for each time would
-    bury the others.
+    A faulty writer repeats its record, and a log line for each would bury all
+    others.
     """
 
     def __init__(self, log):
         self._log = log
-        self._causes = {}
+        self._errors = {}
 
     def record_fault(self, record, exc):
-        """Logs that ``record`` is at fault, as the ``exc`` says."""
-        if self._causes.get(record.key) == str(exc):
+        """Logs that ``record`` could not be decoded, with the error ``exc``."""
+        if self._errors.get(record.key) == str(exc):
             return
-        if len(self._causes) >= MAX_LOGGED_FAULTS:
-            self._causes.clear()
-        self._causes[record.key] = str(exc)
+        if len(self._errors) >= MAX_LOGGED_FAULTS:
+            self._errors.clear()
+        self._errors[record.key] = str(exc)
         self._log.error('record_spoilt',
                         key=record.key,
                         offset=record.offset,
                         error=str(exc))
 
     def record_valid(self, key):
-        """Notes that a key's newest record is sound, or gone."""
-        if self._causes.pop(key, None) is not None:
+        """Logs that a key's newest record is valid again, or dropped."""
+        if self._errors.pop(key, None) is not None:
             self._log.info('record_mended', key=key)
