--- a/gorsefall/relay/followers.py
+++ b/gorsefall/relay/followers.py
@@ -1,4 +1,4 @@
-"""Keeps an entry's beliefs up to date with the store of its settings."""
+"""Follows the topics of the store that the settings name."""
 
 from gorsefall import ids
 from gorsefall import settingsfile
@@ -11,14 +11,14 @@
 
 MAX_CONFIG_READ_KB = 64
 """Most data of one read of the configuration, KB: several small ones, but no
-large one beside another, as only the newest counts."""
+large one next to another, as only the newest is used."""
 
 
 class Followers:
-    """The followers of both topics, alone or shared with other entries."""
+    """The followers of both topics; other entries may share their reads."""
 
     def __init__(self, node, adapter):
-        """Creates the following of a store; ``start`` begins.
+        """Creates the followers of a store; ``start`` begins.
 
         Args:
             node: The ``node.Node``.
@@ -30,7 +30,7 @@
         self._topics = {}
 
     def start(self, peers):
-        """Begins to read, and to share reads where there are ``peers``."""
+        """Begins to read, and to share reads if there are ``peers``."""
         if peers is not None:
             host, _ = settingsfile.split_addr(self._node.cfg.peers)
             own = readers.Candidate(self._node.cfg.name, host,
@@ -39,57 +39,57 @@
                                                 self._candidates, peers.send)
             for kind in (messages.Ask, messages.Told, messages.Hint):
                 peers.register_handler(kind, self._sharing.handle_message)
-        self._follow()
+        self._start_followers()
         if self._sharing is not None:
             self._sharing.start()
 
     @property
     def can_read_for_others(self):
-        """Whether the store can be read for others."""
+        """Whether other entries can rely on this one to read the store."""
         return self._sharing is not None and self._sharing.reaches_store()
 
     @property
     def source_host(self):
-        """Host that told last what the store holds; None after own reads."""
+        """Host that last sent changes of the store; None after own reads."""
         return self._sharing.source_host if self._sharing is not None else None
 
     @property
     def is_reader(self):
-        """Whether this entry reads the store by itself."""
+        """Whether this entry reads the store itself."""
         return self._sharing is None or self._sharing.is_reader
 
     def apply_settings(self, before):
-        """Follows anew where new settings ask for it."""
+        """Restarts the followers if new settings require it."""
         cfg = self._node.cfg
         if (cfg.store != before.store or
                 pacing.config_wait_s(cfg) < pacing.config_wait_s(before) or
                 cfg.leave_s < before.leave_s):
-            # Shorter bounds also need shorter waits at the store.
-            self._follow()
+            # Shorter bounds require shorter waits at the store.
+            self._start_followers()
 
     def _candidates(self):
-        """Returns the other entries that are heard."""
-        heard = self._node.work.peer_view.members.live_statuses(
+        """Returns the candidates among the other live entries, a list."""
+        members = self._node.work.peer_view.members.live_statuses(
             self._node.loop.now)
         return [
             readers.Candidate(status.name, host, status.zone,
-                              status.can_read_store) for host, status in heard
+                              status.can_read_store) for host, status in members
         ]
 
-    def _follow(self):
+    def _start_followers(self):
         for followed in self._topics.values():
             followed.follower.stop()
         cfg, records = self._node.cfg, self._adapter.records
         self._topics = {
             'configuration':
-                self._topic(
+                self._create_topic(
                     self._adapter.configuration_topic,
                     topiclisteners.ConfigurationListener(self._node, records),
                     alone=topic.ReadPace(wait_s=pacing.config_wait_s(cfg)),
                     shared=topic.ReadPace(wait_s=pacing.shared_wait_s(cfg)),
                     max_kb=MAX_CONFIG_READ_KB),
             'replicas':
-                self._topic(
+                self._create_topic(
                     self._adapter.replicas_topic,
                     topiclisteners.ReplicasListener(self._node, records),
                     alone=topic.ReadPace(pause_s=pacing.replicas_pause_s(cfg)),
@@ -102,7 +102,7 @@
         for followed in self._topics.values():
             followed.follower.start()
 
-    def _topic(self, name, listener, *, alone, shared, max_kb):
+    def _create_topic(self, name, listener, *, alone, shared, max_kb):
         source = self._adapter.source(
             self._node.loop, settingsfile.split_addr(self._node.cfg.store),
             name)
@@ -112,9 +112,9 @@
                                   name=name,
                                   pace=alone,
                                   max_kb=max_kb,
-                                  on_change=self._news)
+                                  on_change=self._on_change)
         return sharing.FollowedTopic(follower, alone, shared)
 
-    def _news(self):
+    def _on_change(self):
         if self._sharing is not None:
             self._sharing.send_hints()
--- a/gorsefall/relay/sharing.py
+++ b/gorsefall/relay/sharing.py
@@ -1,10 +1,11 @@
-"""Reads of the store that entries share: its calls do not grow with them.
-
-A few entries read; the others ask them, by datagram, what they missed. Whoever
-is told takes it as confirmed at the moment it asked less the age that the
-answer names: the answer was made after the question, so that is never younger
-than the truth, however late it comes and whatever clocks or suspended VMs do
-in between.
+"""Reads of the store that entries share, so that few of them call it.
+
+A few entries, the readers, read the store. The others query them, by datagram,
+for the changes that they missed. A response confirms the state as of the time
+of the query minus the age that the response names. It was made after the
+query, so the confirmation is never dated later than the state that it
+confirms, however late the response arrives and whatever clocks or suspended
+VMs do meanwhile.
 """
 
 import functools
@@ -22,51 +23,54 @@
 from gorsefall.relay import topic
 
 RESPONSE_TIMEOUT_S = 0.25
-"""Time for an answer of another entry, s; the way there and back takes 2 ms,
-a busy entry of half a core some 100."""
+"""Longest time for the response of another entry, s: the round trip takes 2 ms,
+an entry that is busy on half a core some 100 ms."""
 
 STALE_MARGIN_S = 0.4
-"""Age beyond that of a reader's next read from which on its answer does not
-do, s: it waits for a store that does not answer."""
+"""Age beyond that of a reader's next confirmation from which its response is
+rejected, s: that reader waits for a store that does not respond."""
 
 PAUSE_JITTER = (0.8, 1.2)
-"""Range of the pause between questions, in times of itself."""
+"""Range of the factor of the pause between queries."""
 
 FALLBACK_SPREAD_S = 0.3
-"""Time over which own reads are spread where nobody answers, s."""
+"""Time over which entries spread their own reads when a query stayed without
+response, s."""
 
 OUTAGE_SPREAD_S = 2.0
-"""The same where everybody asked answers and nobody knows more, s."""
+"""The same when all queried entries responded with stale data, s: then the
+store is the cause."""
 
 OUTAGE_READ_PAUSE_S = 4.0
-"""Pause between own reads while the store does not answer, s: those that read
-try on, and whoever asks them hears within a second that it is back."""
+"""Pause between own reads while the store does not respond, s. Readers keep
+trying, and the entries that query them learn of the store's return within a
+second."""
 
 HINT_SPREAD_S = 0.3
-"""Time over which those who were hinted of news ask for it, s: the answers of
-one entry share its link with its callers' streams."""
+"""Time over which entries spread their queries after a hint, s: the responses
+of one entry share its link with its callers' streams."""
 
 HINT_WINDOW_S = 5.0
-"""Time after a question in which its asker is told of news, s."""
+"""Time after a query in which its sender receives hints, s."""
 
 READ_AFTER_QUERY_S = 2.0
-"""Time for which an entry that was asked reads, s: two questions."""
+"""Time for which an entry reads the store after a query, s: two queries."""
 
 MAX_FAILED_READS = 3
-"""Own reads failed in a row after which an entry does not read for others."""
+"""Consecutive failed reads from which an entry is no reader."""
 
 PROBE_PERIOD_S = 10.0
-"""Pause between reads that show whether the store is reached again, s, while
-others tell what it holds."""
+"""Pause between reads that check whether the store is reachable again while
+other entries send its changes, s."""
 
 
 class FollowedTopic(typing.NamedTuple):
-    """A topic that is followed.
+    """A topic and how often it is read.
 
     Attributes:
         follower: Its ``topic.Follower``.
-        alone: The ``topic.ReadPace`` of an entry that nobody asks.
-        shared: The same where others depend on it.
+        alone: The ``topic.ReadPace`` while no other entry depends on this one.
+        shared: The same while other entries do.
     """
     follower: topic.Follower
     alone: topic.ReadPace
@@ -74,38 +78,39 @@
 
     @property
     def max_age_s(self):
-        """Age from which on another entry's news does not do, s."""
+        """Age up to which another entry's changes are accepted, s."""
         return self.shared.max_confirmation_age_s + STALE_MARGIN_S
 
 
-class _Question(typing.NamedTuple):
-    """An open question.
+class _Query(typing.NamedTuple):
+    """A query without response so far.
 
     Attributes:
-        number: Names it.
-        asked_at: When it was asked, s (``freshness.clock``).
-        hosts: Who was asked, and who may be next.
+        query_id: Identifies it.
+        sent_at: When it was sent, s (``freshness.clock``).
+        hosts: The queried host and those to query next.
     """
-    number: int
-    asked_at: float
+    query_id: int
+    sent_at: float
     hosts: tuple[str, ...]
 
 
 class SharedReads:
-    """Has this entry's followers read, or be told by others.
+    """Has followers read the store, or apply the changes of other entries.
 
     Attributes:
-        leads: Whether this entry reads by itself.
-        told_by: Host of the entry that told last; None after an own read.
+        is_reader: Whether this entry reads the store itself.
+        source_host: Host of the entry that last sent changes; None after an
+            own read.
     """
 
     def __init__(self, loop, own, others, send, rng=random):
-        """Creates the sharing of one entry; ``start`` begins.
+        """Creates the shared reads of one entry; ``start`` begins.
 
         Args:
             loop: The ``reactor.Reactor``.
             own: This entry's ``readers.Candidate``.
-            others: Returns the ``readers.Candidate`` objects heard.
+            others: Returns the ``readers.Candidate`` objects of live entries.
             send: Called with ``(message, host)``.
             rng: A ``random.Random``.
         """
@@ -116,12 +121,12 @@
         self._choice = readers.ReaderSelector(own, rng)
         self._topics = {}
         self._store = ''
-        self._ask_s = 0.0
-        self._open = None
-        self._askers = {}
-        self._in_vain = False
+        self._query_pause_s = 0.0
+        self._open_query = None
+        self._queried_at = {}
+        self._no_current_response = False
         self._hinted = False
-        self._unheard = False
+        self._response_missing = False
         self._own_read_due = False
         self._probed_at = float('-inf')
         self._log = logs.get('sharing')
@@ -129,84 +134,87 @@
         self.source_host = None
 
     def start(self):
-        """Begins to ask once the others had time to speak."""
-        self._loop.later(self._ask_s * self._rng.uniform(*PAUSE_JITTER),
-                         self._round)
+        """Begins to query after other entries had time to send a message."""
+        self._loop.later(self._query_pause_s * self._rng.uniform(*PAUSE_JITTER),
+                         self._run_round)
 
-    def set_followers(self, topics, store, ask_s):
-        """Adopts the followers of a store.
+    def set_followers(self, topics, store, query_pause_s):
+        """Sets the followers of a store.
 
         Args:
-            topics: ``name -> Topic``.
+            topics: ``name -> FollowedTopic``.
             store: ``host:port`` of the store.
-            ask_s: Pause between questions, s.
+            query_pause_s: Pause between queries, s.
         """
-        self._topics, self._store, self._ask_s = topics, store, ask_s
-        self._open = None
+        self._topics, self._store, self._query_pause_s = (topics, store,
+                                                          query_pause_s)
+        self._open_query = None
         for followed in topics.values():
             followed.follower.pace = followed.alone
             followed.follower.set_continuous(self.is_reader)
 
     def reaches_store(self):
-        """Returns whether the store is reached from here, as far as known."""
+        """Returns False if several reads of the store failed in a row."""
         return all(t.follower.failed_reads < MAX_FAILED_READS
                    for t in self._topics.values())
 
     # -- whether to read -------------------------------------------------------
 
-    def _round(self):
-        self._loop.later(self._ask_s * self._rng.uniform(*PAUSE_JITTER),
-                         self._round)
+    def _run_round(self):
+        self._loop.later(self._query_pause_s * self._rng.uniform(*PAUSE_JITTER),
+                         self._run_round)
         others = readers.with_store_access(self._others())
-        # Where nobody reaches the store, those try who would read.
+        # If no entry reaches the store, the entries that would be readers
+        # keep trying.
         contends = self.reaches_store() or not any(c.can_read for c in others)
-        self._lead(not others or (contends and self._is_due(others)))
+        self._set_reader(not others or (contends and self._should_read(others)))
         if self.is_reader:
-            self._lead_for(others)
+            self._set_paces(others)
         else:
-            self._probe()
-            self._unheard = False
-            self._ask(self._choice.query_order(others, self._loop.now))
-
-    def _is_due(self, others):
-        # Where entries have not all heard of each other they choose others
-        # to read; whoever is asked reads, or all would be told old news.
+            self._probe_store()
+            self._response_missing = False
+            self._query(self._choice.query_order(others, self._loop.now))
+
+    def _should_read(self, others):
+        # Entries whose sets of known entries differ choose different readers.
+        # Any entry that is queried reads, or the senders would receive stale
+        # data.
         return (self._choice.is_reader(others) or
-                bool(self._asked_of_late(READ_AFTER_QUERY_S)))
+                bool(self._recent_queriers(READ_AFTER_QUERY_S)))
 
-    def _asked_of_late(self, for_s):
-        """Returns the hosts that asked within ``for_s``, a list."""
+    def _recent_queriers(self, for_s):
+        """Returns the hosts that sent a query within ``for_s``, a list."""
         since = self._loop.now - for_s
-        return [h for h, asked_at in self._askers.items() if asked_at > since]
+        return [h for h, at in self._queried_at.items() if at > since]
 
-    def _lead(self, leads):
-        if leads != self.is_reader:
+    def _set_reader(self, is_reader):
+        if is_reader != self.is_reader:
             self._log.info('reads_store',
-                           leads=leads,
+                           leads=is_reader,
                            able=self.reaches_store())
-        self.is_reader = leads
-        metrics.READS_STORE.set(leads)
+        self.is_reader = is_reader
+        metrics.READS_STORE.set(is_reader)
         for followed in self._topics.values():
-            followed.follower.set_continuous(leads)
+            followed.follower.set_continuous(is_reader)
 
-    def _lead_for(self, others):
+    def _set_paces(self, others):
         self.source_host = None
         depended_on = self._choice.has_dependents(others)
         for followed in self._topics.values():
             followed.follower.pace = (followed.shared
                                       if depended_on else followed.alone)
 
-    def _probe(self):
-        if self.reaches_store(
-        ) or self._loop.now - self._probed_at < PROBE_PERIOD_S:
+    def _probe_store(self):
+        if (self.reaches_store() or
+                self._loop.now - self._probed_at < PROBE_PERIOD_S):
             return
         self._probed_at = self._loop.now
         for followed in self._topics.values():
             followed.follower.read_once()
 
-    # -- asking ----------------------------------------------------------------
+    # -- queries ---------------------------------------------------------------
 
-    def _ask(self, hosts):
+    def _query(self, hosts):
         offsets = {
             name: t.follower.offset
             for name, t in self._topics.items()
@@ -217,61 +225,67 @@
         if not hosts:
             self._fall_back()
             return
-        number = self._rng.getrandbits(63)
-        self._open = _Question(number, freshness.clock(), tuple(hosts))
+        query_id = self._rng.getrandbits(63)
+        self._open_query = _Query(query_id, freshness.clock(), tuple(hosts))
         self._loop.later(RESPONSE_TIMEOUT_S,
-                         functools.partial(self._unanswered, number))
-        cut_off = any(t.follower.failed_reads for t in self._topics.values())
-        self._send(messages.Ask(number, self._store, offsets, cut_off),
+                         functools.partial(self._on_timeout, query_id))
+        unreachable = any(
+            t.follower.failed_reads for t in self._topics.values())
+        self._send(messages.Ask(query_id, self._store, offsets, unreachable),
                    hosts[0])
 
-    def _unanswered(self, number):
-        if self._open is None or self._open.number != number:
+    def _on_timeout(self, query_id):
+        if self._open_query is None or self._open_query.query_id != query_id:
             return
         metrics.READS_ASKED.labels('unanswered').inc()
-        self._unheard = True
-        host, *rest = self._open.hosts
+        self._response_missing = True
+        host, *rest = self._open_query.hosts
         self._choice.record_no_response(host, self._loop.now)
-        self._ask(rest)
+        self._query(rest)
 
     def _fall_back(self):
-        self._open = None
-        if not self._in_vain:
-            self._in_vain = True
-            self._log.warning('asked_in_vain', answered=not self._unheard)
+        self._open_query = None
+        if not self._no_current_response:
+            self._no_current_response = True
+            self._log.warning('asked_in_vain',
+                              answered=not self._response_missing)
         if self._own_read_due:
             return
-        # Spread, as many come here together. Where all who were asked
-        # answered, it is the store that is away, and time does not press.
+        # Many entries fall back at once, so their reads are spread. If all
+        # queried entries responded, the store is unreachable for them too,
+        # and reading soon would not help.
         self._own_read_due = True
-        within_s = FALLBACK_SPREAD_S if self._unheard else OUTAGE_SPREAD_S
-        self._loop.later(self._rng.uniform(0.0, within_s), self._read_old)
+        within_s = (FALLBACK_SPREAD_S
+                    if self._response_missing else OUTAGE_SPREAD_S)
+        self._loop.later(self._rng.uniform(0.0, within_s),
+                         self._read_stale_topics)
 
-    def _read_old(self):
-        if self.is_reader or not self._in_vain:
+    def _read_stale_topics(self):
+        if self.is_reader or not self._no_current_response:
             self._own_read_due = False
             return
         metrics.READS_ASKED.labels('read').inc()
         self.source_host = None
         for followed in self._topics.values():
-            if followed.follower.age_s() > self._ask_s:
+            if followed.follower.age_s() > self._query_pause_s:
                 followed.follower.read_once()
-        pause_s = self._ask_s if self.reaches_store() else OUTAGE_READ_PAUSE_S
+        pause_s = (self._query_pause_s
+                   if self.reaches_store() else OUTAGE_READ_PAUSE_S)
         self._loop.later(pause_s * self._rng.uniform(*PAUSE_JITTER),
-                         self._may_read_again)
+                         self._allow_own_read)
 
-    def _may_read_again(self):
+    def _allow_own_read(self):
         self._own_read_due = False
 
     # -- messages --------------------------------------------------------------
 
     @functools.singledispatchmethod
     def handle_message(self, message, host):
-        """Takes in a message of another entry.
+        """Handles a message of another entry.
 
         Args:
             message: One of ``messages``.
-            host: Who sent it.
+            host: Its sender.
         """
         raise TypeError(f'{type(message).__name__} from {host}')
 
@@ -279,56 +293,54 @@
     def _(self, message: messages.Ask, host):
         if message.store != self._store:
             return
-        self._note_asker(host)
-        most_bytes = (changes.MAX_SENT_BYTES_CUT_OFF
-                      if message.store_unreachable else changes.MAX_SENT_BYTES)
-        news = {
+        self._record_querier(host)
+        max_bytes = (changes.MAX_SENT_BYTES_CUT_OFF
+                     if message.store_unreachable else changes.MAX_SENT_BYTES)
+        found = {
             name:
                 followed.follower.changes_since(message.offsets[name],
-                                                most_bytes)
+                                                max_bytes)
             for name, followed in self._topics.items()
             if name in message.offsets and followed.follower.has_snapshot
         }
-        self._send(messages.Told(message.query_id, news), host)
+        self._send(messages.Told(message.query_id, found), host)
 
     @handle_message.register
     def _(self, message: messages.Told, host):
-        question = self._open
-        if (question is None or message.query_id != question.number or
-                host != question.hosts[0]):
-            # Late, repeated, or to a process that was here before.
+        query = self._open_query
+        if (query is None or message.query_id != query.query_id or
+                host != query.hosts[0]):
+            # Late, repeated, or a response to an earlier process.
             return
-        self._open = None
+        self._open_query = None
         stale = [
-            name for name, followed in self._topics.items() if
-            not self._take(followed, question, message.topic_changes.get(name))
+            name for name, followed in self._topics.items()
+            if not self._apply(followed, query, message.topic_changes.get(name))
         ]
         metrics.READS_ASKED.labels('stale' if stale else 'told').inc()
         if stale:
-            self._ask(question.hosts[1:])
+            self._query(query.hosts[1:])
             return
         self.source_host = host
         self._choice.record_response(host)
-        if self._in_vain:
-            self._in_vain = False
+        if self._no_current_response:
+            self._no_current_response = False
             self._log.info('told_again', by=host)
 
-    def _take(self, followed, question, news):
-        """Takes in what is known of a topic; returns whether it will do."""
-        if news is None:
+    def _apply(self, followed, query, change_set):
+        """Applies changes of a topic; returns whether they are current."""
+        if change_set is None:
             return not followed.follower.has_snapshot
-        if not news.complete:
+        if not change_set.complete:
             followed.follower.read_once()
             return True
         try:
-            followed.follower.apply_changes(question.asked_at - news.age_s,
-                                            news)
+            followed.follower.apply_changes(query.sent_at - change_set.age_s,
+                                            change_set)
         except errors.RecordError as exc:
-            self._log.error('news_spoilt',
-                            host=question.hosts[0],
-                            error=str(exc))
+            self._log.error('news_spoilt', host=query.hosts[0], error=str(exc))
             return False
-        return news.age_s <= followed.max_age_s
+        return change_set.age_s <= followed.max_age_s
 
     @handle_message.register
     def _(self, message: messages.Hint, host):
@@ -340,29 +352,29 @@
         if missed and not self._hinted:
             self._hinted = True
             self._loop.later(self._rng.uniform(0.0, HINT_SPREAD_S),
-                             functools.partial(self._follow_hint, host))
+                             functools.partial(self._query_after_hint, host))
 
-    def _follow_hint(self, host):
+    def _query_after_hint(self, host):
         self._hinted = False
         hosts = self._choice.query_order(
             readers.with_store_access(self._others()), self._loop.now)
-        self._ask([host, *(h for h in hosts if h != host)])
+        self._query([host, *(h for h in hosts if h != host)])
 
-    def _note_asker(self, host):
-        if len(self._askers) >= membership.MAX_MEMBERS:
-            late = self._asked_of_late(HINT_WINDOW_S)
-            self._askers = {h: self._askers[h] for h in late}
-        if len(self._askers) < membership.MAX_MEMBERS:
-            self._askers[host] = self._loop.now
+    def _record_querier(self, host):
+        if len(self._queried_at) >= membership.MAX_MEMBERS:
+            recent = self._recent_queriers(HINT_WINDOW_S)
+            self._queried_at = {h: self._queried_at[h] for h in recent}
+        if len(self._queried_at) < membership.MAX_MEMBERS:
+            self._queried_at[host] = self._loop.now
 
     def send_hints(self):
-        """Tells those who asked of late that there is news."""
+        """Sends entries that queried recently a hint that topics changed."""
         if not self.is_reader:
             return
         since = self._loop.now - HINT_WINDOW_S
         hint = messages.Hint(self._store, {
             name: t.follower.offset for name, t in self._topics.items()
         })
-        for host, asked_at in self._askers.items():
-            if asked_at > since:
+        for host, at in self._queried_at.items():
+            if at > since:
                 self._send(hint, host)
--- a/gorsefall/relay/topiclisteners.py
+++ b/gorsefall/relay/topiclisteners.py
@@ -1,4 +1,4 @@
-"""What a node learns from the store: its configuration and its replicas."""
+"""Apply the store's topics to a node: its configuration and its replicas."""
 
 import typing
 
@@ -8,12 +8,12 @@
 
 
 class ConfigurationListener(topic.Listener):
-    """Keeps the node's table and proof current."""
+    """Keeps the node's routing table and its confirmation current."""
 
     def __init__(self, node, records):
         self._node = node
         self._records = records
-        self._spoilt = topic.MalformedRecords(logs.get('configuration'))
+        self._malformed = topic.MalformedRecords(logs.get('configuration'))
 
     def on_snapshot(self, records):
         """See ``topic.Listener``."""
@@ -25,10 +25,11 @@
         try:
             table = self._records.decode_table(record)
         except errors.RecordError as exc:
-            # What is in force stays: a configuration is never half known.
-            self._spoilt.record_fault(record, exc)
+            # The configuration in force stays; a malformed one is never
+            # applied in part.
+            self._malformed.record_fault(record, exc)
             return True
-        self._spoilt.record_valid(record.key)
+        self._malformed.record_valid(record.key)
         if table is not None:
             self._node.adopt(table)
         return True
@@ -38,8 +39,8 @@
         self._node.record_confirmation(sent_at)
 
 
-class _Spoilt(typing.NamedTuple):
-    """A record that cannot be decoded, and why."""
+class _Malformed(typing.NamedTuple):
+    """Stands for a record that cannot be decoded; holds the error."""
     error: str
 
 
@@ -49,13 +50,13 @@
     def __init__(self, node, records):
         self._node = node
         self._records = records
-        self._known = {}
-        self._spoilt = topic.MalformedRecords(logs.get('replicas'))
+        self._observed = {}
+        self._malformed = topic.MalformedRecords(logs.get('replicas'))
 
     def on_snapshot(self, records):
         """See ``topic.Listener``."""
         names = {r.key for r in records}
-        self._known = {k: v for k, v in self._known.items() if k in names}
+        self._observed = {k: v for k, v in self._observed.items() if k in names}
         self._node.fleet.keep_only(names, self._node.loop.now)
         for record in records:
             self.on_record(record)
@@ -64,24 +65,24 @@
     def on_record(self, record):
         """See ``topic.Listener``."""
         if record.well_formed and not record.value:
-            self._spoilt.record_valid(record.key)
+            self._malformed.record_valid(record.key)
             self._node.fleet.remove(record.key, self._node.loop.now)
-            return self._known.pop(record.key, None) is not None
+            return self._observed.pop(record.key, None) is not None
         try:
             decoded = self._records.decode_replica(record)
         except errors.RecordError as exc:
-            self._spoilt.record_fault(record, exc)
+            self._malformed.record_fault(record, exc)
             self._node.fleet.mark_malformed(record.key)
-            return self._learned(record.key, _Spoilt(str(exc)))
-        self._spoilt.record_valid(record.key)
+            return self._observe(record.key, _Malformed(str(exc)))
+        self._malformed.record_valid(record.key)
         self._node.fleet.put(decoded)
-        return self._learned(record.key, decoded)
+        return self._observe(record.key, decoded)
 
-    def _learned(self, key, known):
-        """Returns whether ``known`` is news of a key."""
-        if self._known.get(key) == known:
+    def _observe(self, key, state):
+        """Stores the observed state of a key; returns whether it changed."""
+        if self._observed.get(key) == state:
             return False
-        self._known[key] = known
+        self._observed[key] = state
         return True
 
     def on_store_lost(self):
@@ -94,10 +95,10 @@
 
 
 class RecordDecoder:
-    """The seam to how records are spelled."""
+    """Interface to the encoding of the store's records."""
 
     def decode_table(self, record):
-        """Returns the ``routes.Table`` of a record, None if it is no table.
+        """Returns the ``routes.Table`` of a record, None if it holds none.
 
         Raises:
             errors.RecordError: It cannot be decoded.
