--- a/gorsefall/relay/crashes.py
+++ b/gorsefall/relay/crashes.py
@@ -1,4 +1,4 @@
-"""Crashes of replicas under requests: noted, and shared with all entries."""
+"""Crashes of replicas under requests, recorded and shared by all entries."""
 
 import collections
 import functools
@@ -16,26 +16,26 @@
 from gorsefall.relay import prober
 
 REPORT_WINDOW_S = 6.0
-"""Time for which a message tells of what was seen, s: twice and more to each of
-hundreds of entries."""
+"""Time for which a crash is included in status messages, s: each of hundreds of
+entries receives it at least twice."""
 
 MAX_REPORTS = 32
-"""Sightings told of in a message, the last ones: 2 KB."""
+"""Most reports in a status message; the newest ones, 2 KB."""
 
 MIN_QUERY_PAUSE_S = 1.0
-"""Pause between two questions for what others know, s."""
+"""Shortest pause between two queries for the suspects of other entries, s."""
 
 EXPIRY_PERIOD_S = 30.0
 
 
 class BrokenRun(typing.NamedTuple):
-    """A run that broke.
+    """A run whose connection broke.
 
     Attributes:
         digest: The ``ids.RequestDigest``.
         sent_at: When it was sent, s (monotonic).
-        first_at: When its first event came, s; None before.
-        again: Whether it followed another run that broke.
+        first_event_at: When its first event arrived, s; None before.
+        after_broken_run: Whether an earlier run of the same exchange broke.
     """
     digest: bytes
     sent_at: float
@@ -43,11 +43,11 @@
     after_broken_run: bool = False
 
     def weight(self, now):
-        """Returns the ``suspects.CrashWeight`` of a crash that cut it now."""
+        """Returns the ``suspects.CrashWeight`` of a crash that broke it now."""
         if (self.after_broken_run and
                 now - self.sent_at < suspects.COMMON_CAUSE_S):
-            # It was sent here as its last replica ended; one cause may have
-            # taken both.
+            # It was sent just as its previous replica crashed. Both crashes
+            # may have one cause.
             return suspects.CrashWeight.OLD
         if (self.first_event_at is None or
                 now - self.first_event_at < suspects.YOUNG_RUN_S):
@@ -56,31 +56,33 @@
 
 
 class CrashTracker:
-    """What this entry knows of requests that crash replicas.
+    """Tracks requests under which replicas crashed.
 
     Attributes:
         suspects: The ``suspects.Suspects``.
-        on_blamed: Called with a digest that is blamed, also by an own sighting.
-        on_cleared: Called with a blamed digest that an own run cleared.
+        on_poison_request: Called with the digest of a request that became a
+            poison request, if this entry observed one of its crashes.
+        on_cleared: Called with the digest of a poison request that a completed
+            run at this entry cleared.
     """
 
-    def __init__(self, loop, replica_ends, fleet, clock=time.monotonic):
-        """Creates it; nothing is known.
+    def __init__(self, loop, replica_prober, fleet, clock=time.monotonic):
+        """Creates a tracker without suspects.
 
         Args:
             loop: The ``reactor.Reactor``.
-            replica_ends: The ``prober.ReplicaProber``.
+            replica_prober: The ``prober.ReplicaProber``.
             fleet: The ``fleet.Fleet``.
             clock: Returns the time, s (monotonic).
         """
         self._loop = loop
-        self._ends = replica_ends
+        self._prober = replica_prober
         self._fleet = fleet
         self._clock = clock
         self._peers = None
-        self._told = collections.deque(maxlen=MAX_REPORTS)
-        self._asked_at = float('-inf')
-        self._under_way = {}
+        self._reported = collections.deque(maxlen=MAX_REPORTS)
+        self._queried_at = float('-inf')
+        self._running = {}
         self._parked = collections.defaultdict(list)
         self._log = logs.get('crashes')
         self.suspects = suspects.Suspects()
@@ -95,81 +97,82 @@
         self._loop.later(EXPIRY_PERIOD_S, self._expire)
         self.suspects.expire(self._clock())
 
-    # -- before a send ---------------------------------------------------------
+    # -- before an attempt -----------------------------------------------------
 
     def _check(self, digest):
         if self.suspects.is_blocked(digest, self._clock()):
             metrics.CRASHING.labels('refused').inc()
-            ended = self.suspects.crashes(digest)
+            crashes = self.suspects.crashes(digest)
             raise errors.CrashesReplicasError(
-                f'{len(ended)} replicas ended as they ran it: '
-                f'{", ".join(c.replica for c in ended)}')
+                f'{len(crashes)} replicas crashed while running this request: '
+                f'{", ".join(c.replica for c in crashes)}')
 
     def try_begin_run(self, digest, exchange):
         """Returns whether an exchange may send a request now.
 
-        Of one that is held a run is under way at a time: several would take
-        down as many replicas before the first one's end is known. The others
-        are called back with ``go_on`` when that run has ended.
+        A request that is held runs at one replica at a time: concurrent runs
+        could crash several replicas before the first crash is detected. The
+        other exchanges are parked; their ``go_on`` is called when that run is
+        over.
 
         Raises:
-            errors.CrashesReplicasError: It is known to crash replicas.
+            errors.CrashesReplicasError: It is a poison request.
         """
         self._check(digest)
         if not self.suspects.must_serialize(digest):
             return True
-        runs = self._under_way.setdefault(digest, exchange)
-        if runs is exchange:
+        owner = self._running.setdefault(digest, exchange)
+        if owner is exchange:
             return True
         metrics.CRASHING.labels('parked').inc()
         self._parked[digest].append(exchange)
         return False
 
     def end_run(self, digest, exchange):
-        """Notes that an exchange is over."""
-        if self._under_way.get(digest) is exchange:
-            del self._under_way[digest]
+        """Records that an exchange is over."""
+        if self._running.get(digest) is exchange:
+            del self._running[digest]
             for waiting in self._parked.pop(digest, ()):
                 self._loop.later(0, waiting.go_on)
 
-    # -- what is seen here -----------------------------------------------------
+    # -- crashes observed here -------------------------------------------------
 
     def handle_broken_run(self, replica, run, go_on):
-        """Finds out whether a ``fleet.Replica`` crashed under a ``Run``.
+        """Determines whether a ``fleet.Replica`` crashed under a ``BrokenRun``.
 
-        Where a replica crashed under the request before, whether this one
-        did is waited for: of a request that crashes replicas a further send
-        takes down the next one.
+        If the request is already a suspect, ``go_on`` is called only after the
+        result is known: another attempt of a request that crashes replicas
+        would crash the next one.
 
         Args:
-            replica: Where its channel broke.
-            run: The ``Run``.
-            go_on: Called when the request may be decided on.
+            replica: The replica whose connection broke.
+            run: The ``BrokenRun``.
+            go_on: Called when the exchange may decide about the request.
         """
         waits = self.suspects.weight(run.digest) and self._expected_up(replica)
         if self._expected_up(replica):
-            known = go_on if waits else lambda: None
-            self._ends.probe(
-                replica, functools.partial(self._looked, replica, run, known))
+            done = go_on if waits else lambda: None
+            self._prober.probe(
+                replica, functools.partial(self._on_probed, replica, run, done))
         if not waits:
             go_on()
 
     def _expected_up(self, replica):
-        """Whether its end would be a crash: it was not on its way out."""
+        """Returns whether the replica's exit would be a crash."""
         return (replica.record.status is model.ReplicaStatus.READY and
                 not replica.record_lapsed and
                 self._fleet.replicas.get(replica.record.id) is replica)
 
-    def _looked(self, replica, run, done, verdict):
+    def _on_probed(self, replica, run, done, verdict):
         now = self._clock()
         if verdict is prober.Verdict.EXITED:
             self._fleet.record_exit(replica, now)
-            # What was sent after the end reached no process.
+            # A run that was sent after the exit reached no process.
             if run.sent_at < replica.exited_at:
-                self._crashed(replica.record, run, now)
+                self._record_crash(replica.record, run, now)
         done()
 
-    def _crashed(self, record, run, now):
+    def _record_crash(self, record, run, now):
         digest, weight = run.digest, run.weight(now)
         crash = suspects.Crash(record.id, record.started_at_ms)
         before = self.suspects.is_blocked(digest, now)
@@ -183,14 +186,14 @@
                        weight=int(weight),
                        total=self.suspects.weight(digest),
                        blocked=blocked)
-        self._told.append((now, digest, crash))
+        self._reported.append((now, digest, crash))
         if self.suspects.must_serialize(digest):
-            self._tell_all(digest)
+            self._send_to_all(digest)
         if blocked and not before:
-            self._note_blamed(digest)
+            self._log_poison_request(digest)
             self.on_poison_request(digest)
 
-    def _note_blamed(self, digest):
+    def _log_poison_request(self, digest):
         metrics.CRASHING.labels('blamed').inc()
         self._log.warning(
             'request_blamed',
@@ -199,7 +202,7 @@
             suspects=len(self.suspects))
 
     def record_completed_run(self, digest):
-        """Notes that a run came to its end."""
+        """Records that a run completed."""
         if not self.suspects.weight(digest):
             return
         now = self._clock()
@@ -207,21 +210,21 @@
         if self.suspects.record_completion(digest, now):
             metrics.CRASHING.labels('cleared').inc()
             self._log.info('request_cleared', digest=digests.shown(digest))
-            self._told.append((now, digest, None))
+            self._reported.append((now, digest, None))
             if blamed:
                 self.on_cleared(digest)
 
-    # -- what others see -------------------------------------------------------
+    # -- reports to and from other entries -------------------------------------
 
     def recent_reports(self, now):
-        """Returns the ``membership.RunReport`` objects that a status tells."""
-        while self._told and self._told[0][0] < now - REPORT_WINDOW_S:
-            self._told.popleft()
+        """Returns the ``membership.RunReport`` objects for a status message."""
+        while self._reported and self._reported[0][0] < now - REPORT_WINDOW_S:
+            self._reported.popleft()
         return tuple(
-            found for _, digest, crash in self._told
-            if (found := self._sighting(digest, crash, now)) is not None)
+            report for _, digest, crash in self._reported
+            if (report := self._report(digest, crash, now)) is not None)
 
-    def _sighting(self, digest, crash, now):
+    def _report(self, digest, crash, now):
         suspect = self.suspects.find(digest)
         if suspect is None:
             return None
@@ -239,54 +242,56 @@
         """Returns the ``membership.RunReport`` objects of a suspect, a list."""
         now = self._clock()
         crashes = self.suspects.find(digest).crashes
-        return [self._sighting(digest, crash, now) for crash in crashes]
+        return [self._report(digest, crash, now) for crash in crashes]
 
-    def _tell_all(self, digest):
+    def _send_to_all(self, digest):
         if self._peers is not None:
-            sightings = tuple(self.reports_of(digest))
-            self._peers.send_all(messages.Suspects(sightings))
+            reports = tuple(self.reports_of(digest))
+            self._peers.send_all(messages.Suspects(reports))
 
     def handle_status(self, status, host):
-        """Takes in what the ``membership.Status`` of another entry tells."""
+        """Handles the ``membership.Status`` of another entry."""
         self.merge_reports(status.run_reports)
         if status.suspects_summary != self.suspects.summary:
-            self._ask(host)
+            self._query_suspects(host)
 
-    def _ask(self, host):
-        # Both sides differ while news are on their way; whoever knows less
-        # gains, and a question a second is no load.
+    def _query_suspects(self, host):
+        # The summaries also differ while reports are on their way. The entry
+        # that lacks some gains by the query, and one a second is cheap.
         now = self._clock()
-        if now - self._asked_at >= MIN_QUERY_PAUSE_S:
-            self._asked_at = now
+        if now - self._queried_at >= MIN_QUERY_PAUSE_S:
+            self._queried_at = now
             self._peers.send(messages.AskSuspects(), host)
 
     def send_suspects(self, host):
-        """Answers another entry that asks what is known."""
+        """Sends the reports of the gravest suspects to an entry."""
         grave = sorted(self.suspects.reportable(),
                        key=self.suspects.weight,
                        reverse=True)
-        found = []
+        reports = []
         for digest in grave:
-            found += self.reports_of(digest)
-        self._peers.send(messages.Suspects(tuple(found[:2 * MAX_REPORTS])),
+            reports += self.reports_of(digest)
+        self._peers.send(messages.Suspects(tuple(reports[:2 * MAX_REPORTS])),
                          host)
 
-    def merge_reports(self, sightings):
-        """Takes in ``membership.RunReport`` objects of others."""
+    def merge_reports(self, reports):
+        """Merges the ``membership.RunReport`` objects of another entry."""
         now = self._clock()
         before = set(self.suspects.poison_requests)
-        for seen in sightings[:4 * MAX_REPORTS]:
-            at = now - seen.age_ms / 1000
-            if seen.replica:
+        for report in reports[:4 * MAX_REPORTS]:
+            at = now - report.age_ms / 1000
+            if report.replica:
                 self.suspects.record_crash(
-                    seen.digest, suspects.Crash(seen.replica,
-                                                seen.started_at_ms),
-                    suspects.CrashWeight(seen.weight), at)
+                    report.digest,
+                    suspects.Crash(report.replica, report.started_at_ms),
+                    suspects.CrashWeight(report.weight), at)
             else:
-                self.suspects.record_completion(seen.digest, at)
-        own = {digest for _, digest, crash in self._told if crash is not None}
+                self.suspects.record_completion(report.digest, at)
+        own = {
+            digest for _, digest, crash in self._reported if crash is not None
+        }
         for digest in set(self.suspects.poison_requests) - before:
-            self._note_blamed(digest)
+            self._log_poison_request(digest)
             if digest in own:
                 self.on_poison_request(digest)
 
--- a/gorsefall/relay/crashstore.py
+++ b/gorsefall/relay/crashstore.py
@@ -1,4 +1,4 @@
-"""What the store keeps of requests that crash replicas, past every restart."""
+"""Stores poison requests so that they survive a restart of all entries."""
 
 import time
 
@@ -11,39 +11,41 @@
 from gorsefall.relay import topic
 
 READ_DELAY_S = 2.0
-"""Time after the start until the store is read, s: by then another entry has
-told what it knows, and few entries read the store for all."""
+"""Time after the start until the store is read, s. By then another entry has
+sent its reports, so that few entries read the store."""
 
 READ_DELAY_HEARTBEATS = 1.25
-"""The same in pauses between the messages of other entries, at least."""
+"""The same as a multiple of the pause between messages of other entries, if
+that is longer."""
 
 RETRY_PAUSE_S = 2.0
 """Pause after a failed call, s."""
 
 
-class _Kept(msgspec.Struct, frozen=True, array_like=True):
-    """A sighting as the store keeps it.
+class _StoredReport(msgspec.Struct, frozen=True, array_like=True):
+    """A crash report as it is stored.
 
     Attributes:
-        at_ms: When it was, ms since 1970.
-        sighting: The ``membership.RunReport``; its age counts from ``at_ms``.
+        at_ms: When the crash was observed, ms since 1970.
+        report: The ``membership.RunReport``; its age counts from ``at_ms``.
     """
     at_ms: int
-    sighting: membership.RunReport
+    report: membership.RunReport
 
 
 _ENCODER = msgspec.msgpack.Encoder()
-_DECODER = msgspec.msgpack.Decoder(tuple[_Kept, ...])
+_DECODER = msgspec.msgpack.Decoder(tuple[_StoredReport, ...])
 
 
-def encode(sightings, now_ms):
+def encode(reports, now_ms):
     """Returns the value of a record.
 
     Args:
-        sightings: ``membership.RunReport`` objects.
+        reports: ``membership.RunReport`` objects.
         now_ms: Time of day, ms since 1970.
     """
-    return _ENCODER.encode([_Kept(now_ms - s.age_ms, s) for s in sightings])
+    return _ENCODER.encode(
+        [_StoredReport(now_ms - r.age_ms, r) for r in reports])
 
 
 def decode(value, now_ms):
@@ -53,12 +55,12 @@
         errors.RecordError: It cannot be decoded.
     """
     try:
-        kept = _DECODER.decode(value)
+        stored = _DECODER.decode(value)
     except msgspec.DecodeError as exc:
         raise errors.RecordError(str(exc)) from exc
     return [
-        msgspec.structs.replace(k.sighting, age_ms=max(0, now_ms - k.at_ms))
-        for k in kept
+        msgspec.structs.replace(s.report, age_ms=max(0, now_ms - s.at_ms))
+        for s in stored
     ]
 
 
@@ -67,24 +69,25 @@
 
 
 class CrashStore:
-    """Writes blamed requests to a topic, and reads it once after a start.
+    """Writes poison requests to a topic and reads them after a start.
 
-    Entries tell each other; only where all of them started again does nobody
-    know, and a request that was known would end three more replicas.
+    Entries send each other their reports. Only if all of them restarted are
+    the reports lost, and a known poison request would crash three more
+    replicas.
     """
 
     def __init__(self, loop, source, crashes):
-        """Creates it; ``start`` begins.
+        """Creates a store; ``start`` begins to read.
 
         Args:
             loop: The ``reactor.Reactor``.
             source: The ``topic.Source`` of the topic.
-            crashes: The ``crashes.CrashTracker`` to fill, and to write from.
+            crashes: The ``crashes.CrashTracker`` to read into and write from.
         """
         self._loop = loop
         self._source = source
         self._crashes = crashes
-        self._due = {}
+        self._pending = {}
         self._writing = False
         self._log = logs.get('remembered')
         crashes.on_poison_request = self._write
@@ -92,42 +95,42 @@
 
     # -- reading ---------------------------------------------------------------
 
-    def start(self, reads, heartbeat_s):
-        """Reads what is kept, soon, unless others tell it first.
+    def start(self, is_reader, heartbeat_s):
+        """Reads the topic soon, unless another entry sends reports first.
 
         Args:
-            reads: Returns whether this entry reads the store for others.
+            is_reader: Returns whether this entry reads the store for others.
             heartbeat_s: Returns the pause between messages of others, s.
         """
-        started = self._loop.now
+        started_at = self._loop.now
 
-        def due():
-            wait_s = started + READ_DELAY_HEARTBEATS * heartbeat_s(
-            ) - self._loop.now
+        def read_if_due():
+            wait_s = (started_at + READ_DELAY_HEARTBEATS * heartbeat_s() -
+                      self._loop.now)
             if wait_s > 0:
-                self._loop.later(wait_s, due)
-            elif reads() and not self._crashes.suspects.summary:
+                self._loop.later(wait_s, read_if_due)
+            elif is_reader() and not self._crashes.suspects.summary:
                 self._read('')
 
-        self._loop.later(READ_DELAY_S, due)
+        self._loop.later(READ_DELAY_S, read_if_due)
 
     def _read(self, after):
         self._source.read_snapshot(
             after, topic.SILENCE_TIMEOUT_S,
-            lambda newest, exc: self._listed(after, newest, exc))
+            lambda page, exc: self._on_page(after, page, exc))
 
-    def _listed(self, after, newest, exc):
+    def _on_page(self, after, page, exc):
         if exc is not None:
             self._log.warning('not_read', error=str(exc))
             self._loop.later(RETRY_PAUSE_S, lambda: self._read(after))
             return
-        for record in newest.records:
-            self._take(record)
-        self._log.info('read', records=len(newest.records))
-        if newest.more and newest.records:
-            self._read(newest.records[-1].key)
+        for record in page.records:
+            self._merge(record)
+        self._log.info('read', records=len(page.records))
+        if page.more and page.records:
+            self._read(page.records[-1].key)
 
-    def _take(self, record):
+    def _merge(self, record):
         try:
             self._crashes.merge_reports(decode(record.value, _now_ms()))
         except errors.RecordError as exc:
@@ -136,33 +139,36 @@
     # -- writing ---------------------------------------------------------------
 
     def _write(self, digest):
-        self._due[digest] = encode(self._crashes.reports_of(digest), _now_ms())
+        self._pending[digest] = encode(self._crashes.reports_of(digest),
+                                       _now_ms())
         self._flush()
 
     def _drop(self, digest):
-        self._due[digest] = b''
+        self._pending[digest] = b''
         self._flush()
 
     def _flush(self):
-        if self._writing or not self._due:
+        if self._writing or not self._pending:
             return
         self._writing = True
-        digest, value = next(iter(self._due.items()))
-        self._source.append(digest.hex(), value, topic.SILENCE_TIMEOUT_S,
-                            lambda end, exc: self._wrote(digest, value, exc))
+        digest, value = next(iter(self._pending.items()))
+        self._source.append(
+            digest.hex(), value, topic.SILENCE_TIMEOUT_S,
+            lambda end, exc: self._on_written(digest, value, exc))
 
-    def _wrote(self, digest, value, exc):
+    def _on_written(self, digest, value, exc):
         if exc is not None:
-            # It may have been written all the same; once more does no harm.
+            # The store may have written the record all the same; writing it
+            # again does no harm.
             self._log.warning('not_written',
                               digest=digests.shown(digest),
                               error=str(exc))
-            self._loop.later(RETRY_PAUSE_S, self._again)
+            self._loop.later(RETRY_PAUSE_S, self._flush_next)
             return
-        if self._due.get(digest) == value:
-            del self._due[digest]
-        self._again()
+        if self._pending.get(digest) == value:
+            del self._pending[digest]
+        self._flush_next()
 
-    def _again(self):
+    def _flush_next(self):
         self._writing = False
         self._flush()
