--- a/gorsefall/relay/fleet.py
+++ b/gorsefall/relay/fleet.py
@@ -1,4 +1,4 @@
-"""The replicas an entry may send to, from the replicas' own records."""
+"""The replicas that an entry may send to, from the records that they write."""
 
 import contextlib
 import time
@@ -13,47 +13,48 @@
 from gorsefall.relay import model
 
 CONNECT_TIMEOUT_S = 0.25
-"""Longest time to connect to a replica, s; a way there and back takes 2 ms,
-and the shortest callers wait 600 ms in all."""
+"""Longest time to connect to a replica, s: a round trip takes 2 ms, and the
+shortest caller timeout is 600 ms."""
 
 CONNECTION_SHARE = 1 / 6
-"""Part of a replica's connections that one entry may hold; there are 6 to 7
-entries, which are rarely at their cap at once."""
+"""Part of a replica's connections that one entry may open. There are 6 to 7
+entries, which rarely reach their limits at the same time."""
 
 REWRITE_GRACE_S = 2.2
-"""Time after the store's return in which replicas whose records lapsed
-meanwhile write them again, s; the store's operators name 2 s."""
+"""Time after the store's return until replicas whose records lapsed have
+written them again, s; the store's operators state 2 s."""
 
 EXIT_RECORD_LAG_S = 3.0
-"""Time after which a record shows that a replica lives that was found to have
-ended, s: one written before its end is read by then."""
+"""Time after a replica's exit from which a newly read record shows that the
+replica is alive, s: one written before the exit has been read by then."""
 
 EXIT_REPORT_WINDOW_S = 6.0
-"""Time for which a message tells of such an end, s: twice and more to each of
-hundreds of entries."""
+"""Time for which an exit is included in status messages, s: each of hundreds of
+entries receives it at least twice."""
 
 MAX_EXIT_REPORTS = 32
-"""Ends told of in a message."""
+"""Most exits in a status message."""
 
 
 class Replica:
-    """A replica, its connections and what placement knows of it.
+    """A replica, its connections and what placement knows about it.
 
     Attributes:
         record: Its newest ``model.ReplicaRecord``.
-        target: Its ``knowledge.ReplicaView``.
+        view: Its ``knowledge.ReplicaView``.
         pool: Its ``outbound.Pool``.
-        doubtful: Its record lapsed while the store was away: it may have
-            left, or may just not have been able to write.
-        spoilt: Its newest record cannot be read: nothing is known of it.
-        limit: The ``announced_limits.AnnouncedLimit`` that it takes.
-        ended_at: When it was found to have crashed, s (monotonic); None while
-            it is believed to run.
+        record_lapsed: Whether its record lapsed while the store was
+            unreachable: it may have left, or may have been unable to write.
+        record_malformed: Whether its newest record cannot be decoded, so that
+            its state is unknown.
+        limit: The ``announced_limits.AnnouncedLimit`` that it accepts.
+        exited_at: When it was found to have crashed, s (monotonic); None while
+            it is assumed to run.
     """
 
     def __init__(self, loop, record, service, on_change):
         self.record = record
-        self._changed = on_change
+        self._on_change = on_change
         self.record_lapsed = False
         self.record_malformed = False
         self.exited_at = None
@@ -71,33 +72,33 @@
                                   connect_timeout_s=CONNECT_TIMEOUT_S)
 
     def on_record_written(self, now):
-        """Notes that its record was written anew."""
+        """Called when its record was written again."""
         if (self.exited_at is not None and
                 now - self.exited_at > EXIT_RECORD_LAG_S):
             self.exited_at = None
 
     @contextlib.contextmanager
     def in_flight(self, tokens, *, decode_heavy=False):
-        """Counts one request in flight; ``tokens`` of prompt are to be read.
+        """Counts one request in flight; ``tokens`` of its prompt need prefill.
 
         Yields:
-            A function to call when the first event came: the prompt is read.
+            A function to call at the first event: prefill is complete.
         """
-        unread = [tokens]
+        pending = [tokens]
 
-        def prompt_read():
-            if unread:
-                self.view.record_prefilled(unread.pop())
-                self._changed()
+        def prefill_done():
+            if pending:
+                self.view.record_prefilled(pending.pop())
+                self._on_change()
 
         self.view.record_sent(tokens, decode_heavy=decode_heavy)
-        self._changed()
+        self._on_change()
         try:
-            yield prompt_read
+            yield prefill_done
         finally:
-            prompt_read()
+            prefill_done()
             self.view.record_end(decode_heavy=decode_heavy)
-            self._changed()
+            self._on_change()
 
 
 class Fleet(directory.Directory):
@@ -112,27 +113,27 @@
 
         Args:
             loop: The ``reactor.Reactor``.
-            on_change: Called when the work under way at a replica changed.
+            on_change: Called when the requests in flight at a replica changed.
         """
         super().__init__()
         self._loop = loop
-        self._changed = on_change
+        self._on_change = on_change
         self._records = {}
         self._replaced = set()
-        self._ended = {}
+        self._exited = {}
         self._services = {}
-        self._away = False
-        self._doubt_until = float('-inf')
+        self._store_lost = False
+        self._grace_until = float('-inf')
         self._log = logs.get('fleet')
 
     def set_services(self, services):
-        """Adopts the ``name -> model.Service`` of a new configuration."""
+        """Sets the ``name -> model.Service`` of a new configuration."""
         self._services = services
         for record in self._records.values():
             self._refresh(record)
 
     def put(self, record):
-        """Adopts a replica's record."""
+        """Adds or updates a replica by its record."""
         old = self._records.get(record.id)
         if old is not None and not old.same_incarnation(record):
             if record.started_at_ms < old.started_at_ms:
@@ -141,7 +142,7 @@
                                   born=record.started_at_ms,
                                   known=old.started_at_ms)
                 return
-            self._started_again(record.id)
+            self._drop_old_incarnation(record.id)
         self._records[record.id] = record
         self._refresh(record)
         if old is None or old.status is not record.status:
@@ -151,18 +152,19 @@
                            zone=record.zone,
                            status=record.status.value)
 
-    def _started_again(self, replica_id):
-        """Forgets all that is believed of a replica's earlier start.
+    def _drop_old_incarnation(self, replica_id):
+        """Drops all state of a replica's earlier incarnation.
 
-        It holds nothing of before: cached prompts, copies, counts and load.
-        Without this its new start is judged by failures of the old one, and
-        requests are kept for prompts that it would have to read anew. Runs of
-        the old start end with their own channels, in doubt as after any
-        crash; those sent to the new one before its record came live on.
+        The new one has none of its cached prompts, KV backups, counts and
+        load. If they were kept, the new incarnation would be avoided for
+        failures of the old one and receive requests for prompts that it has
+        to prefill again. Runs of the old incarnation end when their
+        connections break, with unknown outcome as after any crash; runs sent
+        to the new one before its record arrived continue.
         """
         self._replaced.discard(replica_id)
         if replica_id in self.replicas:
-            self._drop(replica_id, 'it started again')
+            self._drop(replica_id, 'a new incarnation started')
 
     def _refresh(self, record):
         rep = self.replicas.get(record.id)
@@ -174,54 +176,54 @@
               record.id not in self._replaced):
             self.replicas[record.id] = Replica(self._loop, record,
                                                self._services[record.service],
-                                               self._changed)
+                                               self._on_change)
 
     def remove(self, replica_id, now):
-        """Drops a replica whose record is gone.
+        """Removes a replica whose record was dropped from the store.
 
-        While the store was away no replica could write, and records lapsed
-        of replicas that live on. Dropping those at once would leave no
-        replica to send to (noticed as refusals just after an outage), so
-        they stay as a last resort until they had time to write again.
+        While the store is unreachable no replica can write, and the records of
+        live replicas lapse. Dropping these replicas at once would leave none
+        to send to, so that requests were refused just after an outage. They
+        remain candidates of last resort until they had time to write again.
         """
         rep = self.replicas.get(replica_id)
         self._records.pop(replica_id, None)
         self._replaced.discard(replica_id)
         if rep is None:
             return
-        if self._away or now < self._doubt_until:
+        if self._store_lost or now < self._grace_until:
             rep.record_lapsed = True
             self._log.info('replica_doubtful', replica=replica_id)
             return
-        self._drop(replica_id, 'record gone')
+        self._drop(replica_id, 'record dropped')
 
     def record_exit(self, replica, at):
-        """Notes that a ``Replica`` was found to have ended, unannounced.
+        """Records that a ``Replica`` was found to have crashed.
 
-        Its record stays for some heartbeats. Without this each of many
-        entries finds out by a request of its own, and where the replica is
-        back at its address as another one, that request is refused.
+        Its record remains for some heartbeats. Without the report of the exit
+        each of many entries would detect it by a request of its own, which
+        would be refused if another replica already uses the address.
         """
         if replica.exited_at is None:
             replica.exited_at = at
-            self._ended[replica.record.id] = replica
+            self._exited[replica.record.id] = replica
             self._log.info('replica_ended', replica=replica.record.id)
 
     def recent_exits(self, now):
         """Returns the ``membership.ReplicaExit`` objects for a status."""
-        self._ended = {
+        self._exited = {
             name: rep
-            for name, rep in self._ended.items()
+            for name, rep in self._exited.items()
             if rep.exited_at is not None and now -
             rep.exited_at < EXIT_REPORT_WINDOW_S
         }
         return tuple(
             membership.ReplicaExit(name, rep.record.started_at_ms,
                                    max(0, int((now - rep.exited_at) * 1000)))
-            for name, rep in list(self._ended.items())[:MAX_EXIT_REPORTS])
+            for name, rep in list(self._exited.items())[:MAX_EXIT_REPORTS])
 
     def handle_status(self, status, now):
-        """Takes in what the ``membership.Status`` of another entry tells."""
+        """Handles the ``membership.Status`` of another entry."""
         for end in status.replica_exits:
             rep = self.replicas.get(end.replica)
             if (rep is not None and
@@ -229,48 +231,49 @@
                 self.record_exit(rep, now - end.age_ms / 1000)
 
     def drop_replaced(self, replica_id):
-        """Drops a replica whose address another one answers at.
+        """Drops a replica if another one responds at its address.
 
-        Its record stays for some heartbeats after its end. Without this every
-        request of that time which is sent there is refused (noticed as
-        refusals for three seconds after a replica was restarted in place).
+        Its record remains for some heartbeats after its exit. Requests sent to
+        that address in this time would all be refused, for three seconds after
+        a replica was restarted in place.
         """
         self._replaced.add(replica_id)
         if replica_id in self.replicas:
             self._drop(replica_id, 'another replica has its address')
 
     def mark_malformed(self, replica_id):
-        """Notes that a replica's newest record cannot be read.
+        """Records that a replica's newest record cannot be decoded.
 
-        It may have left or moved, so it gets no new work, and what is known
-        of it is kept for when it has written again.
+        The replica may have left or moved, so it receives no new requests. Its
+        state is kept in case it writes a valid record again.
         """
         rep = self.replicas.get(replica_id)
         if rep is not None:
             rep.record_malformed = True
 
     def keep_only(self, names, now):
-        """Drops all replicas but ``names``, the keys of a new listing."""
+        """Removes all replicas but ``names``, the keys of a new snapshot."""
         for replica_id in set(self._records) - names:
             self.remove(replica_id, now)
 
     def on_store_lost(self):
-        """Notes that the store does not answer."""
-        self._away = True
+        """Called when the store does not respond."""
+        self._store_lost = True
 
     def on_store_regained(self, now):
-        """Notes that the store answers again."""
-        if self._away:
-            self._away = False
-            self._doubt_until = now + REWRITE_GRACE_S
-            self._loop.later(REWRITE_GRACE_S, self._settle)
-
-    def _settle(self):
-        if self._away:
+        """Called when the store responds again."""
+        if self._store_lost:
+            self._store_lost = False
+            self._grace_until = now + REWRITE_GRACE_S
+            self._loop.later(REWRITE_GRACE_S, self._drop_lapsed)
+
+    def _drop_lapsed(self):
+        if self._store_lost:
             return
         for replica_id, rep in list(self.replicas.items()):
             if rep.record_lapsed:
-                self._drop(replica_id, 'record not back after an outage')
+                self._drop(replica_id,
+                           'record not written again after an outage')
 
     def _drop(self, replica_id, reason):
         rep = self.replicas.pop(replica_id)
@@ -293,8 +296,8 @@
         Args:
             service: See there.
             exclude: See there.
-            urgent: Whether no other request is more urgent at the service: of
-                replicas that announce a limit it has the first claim.
+            urgent: Whether no request of the service is more urgent. Replicas
+                that announce a limit serve the most urgent requests first.
         """
         now = time.monotonic()
         live = [
--- a/gorsefall/relay/workload.py
+++ b/gorsefall/relay/workload.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the work at replicas: its own and the others'."""
+"""Requests in flight at replicas, from this entry and from all others."""
 
 import time
 
@@ -10,14 +10,15 @@
 
 
 class Workload:
-    """Work at replicas, and what was learned of it by service.
+    """Requests in flight at replicas, and statistics by service.
 
     Attributes:
-        view: The ``peerview.PeerView`` of the others' work.
+        peer_view: The ``peerview.PeerView`` of what other entries have in
+            flight.
     """
 
     def __init__(self, name, fleet, window_s):
-        """Creates a view without any work.
+        """Creates a workload without requests in flight.
 
         Args:
             name: This entry's name.
@@ -28,35 +29,37 @@
         self._window_s = window_s
         self._services = {}
         self._ranks = {}
-        self.peer_view = peerview.PeerView(name, self._find)
+        self.peer_view = peerview.PeerView(name, self._find_view)
 
-    def _find(self, replica_id):
+    def _find_view(self, replica_id):
         replica = self._fleet.replicas.get(replica_id)
         return replica.view if replica is not None else None
 
     def service_state(self, name):
-        """Returns the ``placement.ServiceState`` of a service, as known now."""
-        known = self._services.setdefault(name, placement.ServiceState())
+        """Returns the current ``placement.ServiceState`` of a service."""
+        state = self._services.setdefault(name, placement.ServiceState())
         members = self.peer_view.members
-        known.unreported.arrivals = unreported.Arrivals(
+        state.unreported.arrivals = unreported.Arrivals(
             per_s=members.first_attempts(name) / self._window_s,
             age_s=members.mean_status_age_s(time.monotonic()))
-        described = self._fleet.service(name)
-        if described is not None:
-            known.fetch_ms = described.fetch_ms
-            known.event_tokens = described.event_tokens
-        return known
+        service = self._fleet.service(name)
+        if service is not None:
+            state.fetch_ms = service.fetch_ms
+            state.event_tokens = service.event_tokens
+        return state
 
     def ranks(self, service):
         """Returns the ``overload.RankStats`` of a service."""
         return self._ranks.setdefault(service, overload.RankStats())
 
     def candidate_views(self, service, exclude, *, urgent=True):
-        """Returns the targets that may take a request, with others' work.
+        """Returns the views of replicas that may take a request.
+
+        They include the requests that other entries have in flight.
 
         Args:
             service: Name of the service.
-            exclude: Ids of the replicas it was sent to.
+            exclude: Ids of the replicas that it was sent to before.
             urgent: See ``fleet.Fleet.candidates``.
         """
         targets = [
@@ -67,7 +70,10 @@
         return targets
 
     def draining_views(self, service):
-        """Returns the targets of replicas that leave: they still lend."""
+        """Returns the views of draining replicas.
+
+        Others can still fetch cached prompts from them.
+        """
         return [
             r.view
             for r in self._fleet.of_service(service)
@@ -75,34 +81,37 @@
         ]
 
     def replica_addr(self, target):
-        """Returns the address of a target's replica; None if it is gone."""
+        """Returns the address of a view's replica; None if it was dropped."""
         replica = self._fleet.replicas.get(target.name) if target else None
         return replica.record.addr if replica is not None else None
 
     def others_first_attempts(self, service):
-        """Returns the others' requests in the retry window, None if alone."""
+        """Returns the first attempts of other entries in the retry window.
+
+        Returns None if there are no other entries.
+        """
         members = self.peer_view.members
         return None if members.alone else members.first_attempts(service)
 
     def record_prompt(self, replica, parts):
-        """Notes the shared parts that a replica reads for a request."""
+        """Records the shared prompt parts that a replica prefills."""
         self.peer_view.record_prompt(replica.view, parts, time.monotonic())
 
     def record_response(self, replica, ok):
-        """Notes whether a replica's answer was what the caller needed."""
+        """Records whether a replica's response was what the caller needed."""
         self.peer_view.record_response(replica.view, ok, time.monotonic())
 
-    def status(self, boot, seq, hosts, **more):
-        """Returns the ``membership.Status`` to tell the other entries.
+    def status(self, started_at_ms, seq, hosts, **more):
+        """Returns the ``membership.Status`` to send to the other entries.
 
         Args:
-            boot: See ``peerview.PeerView.build_status``.
+            started_at_ms: See ``peerview.PeerView.build_status``.
             seq: See there.
             hosts: See there.
             **more: Its other keywords.
         """
         targets = [r.view for r in self._fleet.replicas.values()]
-        return self.peer_view.build_status(boot,
+        return self.peer_view.build_status(started_at_ms,
                                            seq,
                                            targets,
                                            time.monotonic(),
