--- a/gorsefall/relay/pacing.py
+++ b/gorsefall/relay/pacing.py
@@ -1,58 +1,60 @@
-"""How often the store is read, from what the settings bound."""
+"""How often the store is read, derived from bounds in the settings."""
 
 from gorsefall.relay import topic
 
 CONFIRMATION_MARGIN_S = 0.4
-"""Part of the revocation bound that is left for a request's way to its
-replica and a late answer there, s."""
+"""Part of the revocation bound left for a request's way to its replica and a
+late response there, s."""
 
 MAX_CONFIG_WAIT_S = 1.2
-"""Longest time a read of the configuration waits at the store, s; calls are
-paid for. Each answer renews the proof, whose age stays under twice this while
-all is well; the next bound holds for longer troubles."""
+"""Longest time a read of the configuration waits at the store, s: the store
+charges by the call. Each response renews the confirmation, whose age stays
+under twice this time while all is well. The bound on lost responses below
+holds for longer faults."""
 
 LOST_READ_MARGIN_S = 0.3
-"""What is left of the bound on a new configuration for the next answer after
-a lost one, s; a slow store takes 0.25 s."""
+"""Part of the bound on a new configuration left for the next response after a
+lost one, s; a slow store takes 0.25 s."""
 
 MIN_READS_PER_BOUND = 4
-"""Reads within the proof's bound, at least. Two answers in a row may then be
-lost, each noticed after 0.9 s, before a request has to be refused."""
+"""Fewest reads within the bound on the confirmation's age. Two responses in a
+row may then be lost, each detected after 0.9 s, before a request has to be
+refused."""
 
 MIN_CONFIG_WAIT_S = 0.2
-"""Shortest such wait, s: five calls a second."""
+"""Shortest time a read of the configuration waits, s: five calls a second."""
 
 LEAVE_MARGIN_S = 0.6
-"""What is left of the bound on new work for a replica that leaves beside the
-pause between reads of the replicas' records, s: an answer of the store and a
-new connection to the replica (0.25 s at most) fit. Waiting reads would return
-at each of the replicas' heartbeats, several a second, and calls are paid
-for."""
+"""Part of the bound on new requests to a leaving replica that remains after the
+pause between reads of the replicas' records, s: a response of the store and a
+new connection to the replica (0.25 s at most) fit. These reads do not wait at
+the store, as they would return at each heartbeat of a replica, several a
+second, and the store charges by the call."""
 
 MIN_REPLICAS_PAUSE_S = 0.2
-"""Shortest such pause, s."""
+"""Shortest pause between reads of the replicas' records, s."""
 
 MAX_SHARED_WAIT_S = 0.9
 MAX_SHARED_PAUSE_S = 1.3
-"""Longest wait and pause of reads that other entries depend on, s: few read, so
-calls matter less than how old what they tell is."""
+"""Longest wait and pause of reads that other entries depend on, s. Few entries
+read, so the number of calls matters less than the age of what they send."""
 
 MAX_QUERY_PAUSE_S = 1.0
-"""Longest pause between questions to another entry, s."""
+"""Longest pause between queries to another entry, s."""
 
 MIN_QUERIES_PER_BOUND = 4
-"""Questions within the shortest bound, at least: one may be lost, and one be
-answered by an entry that does not know yet that it is cut off."""
+"""Fewest queries within the shortest bound: one may be lost, and one may reach
+an entry that has not yet detected that it cannot reach the store."""
 
 
 def config_wait_s(cfg):
     """Returns how long a read of the configuration waits at the store, s.
 
-    Where keys may go on without proof, a read waits as long as a lost answer
-    is still noticed, and the next one read, before the configuration is
-    overdue: after a channel was lost that is the longer of the time to settle
-    and the bound on the configuration, which run side by side. Calls are paid
-    for.
+    Without strict revocation a read waits as long as possible, since the store
+    charges by the call. A lost response must still be detected, and the next
+    one received, before the configuration is overdue. After a connection was
+    lost that time is the longer of the time to settle and the bound on the
+    configuration, which run concurrently.
     """
     if cfg.strict_revocation:
         bound_s = cfg.revoke_s - CONFIRMATION_MARGIN_S
@@ -68,7 +70,7 @@
 
 
 def query_pause_s(cfg):
-    """Returns the pause between questions to another entry, s."""
+    """Returns the pause between queries to another entry, s."""
     bounds = [cfg.apply_s, cfg.leave_s]
     if cfg.strict_revocation:
         bounds.append(cfg.revoke_s - CONFIRMATION_MARGIN_S)
@@ -76,11 +78,11 @@
 
 
 def shared_wait_s(cfg):
-    """Returns ``config_wait_s`` of an entry that others ask, s."""
+    """Returns ``config_wait_s`` of an entry that others query, s."""
     return min(MAX_SHARED_WAIT_S, config_wait_s(cfg), query_pause_s(cfg))
 
 
 def shared_pause_s(cfg):
-    """Returns ``replicas_pause_s`` of an entry that others ask, s."""
+    """Returns ``replicas_pause_s`` of an entry that others query, s."""
     pause_s = replicas_pause_s(cfg) - query_pause_s(cfg)
     return max(MIN_REPLICAS_PAUSE_S, min(MAX_SHARED_PAUSE_S, pause_s))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Messages between entries: what is read, and what is not believed."""
+"""Messages between entries: encoding, validation and rates."""
 
 import time
 import types
@@ -33,21 +33,21 @@
 
 
 @given(_STATUS)
-def test_what_is_said_is_what_is_read(status):
+def test_a_status_is_unchanged_by_encoding(status):
     assert messages.decode(messages.encode(status)) == status
 
 
 @given(st.binary(max_size=200))
 def test_bytes_that_are_no_message(data):
-    """Another program's datagrams, or a newer entry's, stop an entry."""
+    """Guards against datagrams of other programs that stop an entry."""
     try:
         messages.decode(data)
     except msgspec.DecodeError:
         pass
 
 
-def test_negative_counts_are_not_believed():
-    """A busy replica looks empty and is flooded."""
+def test_negative_counts_are_rejected():
+    """Guards against a busy replica that seems empty and is overloaded."""
     status = membership.Status('a', 1, 1, {},
                                {'r': membership.InFlight(-5, 0, 0)})
     with pytest.raises(msgspec.DecodeError):
@@ -64,7 +64,7 @@
 
 
 class _Loop:
-    """Timers that never come due."""
+    """Timers that never fire."""
 
     def later(self, delay_s, callback):
         return _Timer(delay_s)
@@ -77,7 +77,7 @@
 
 
 class _Node:
-    """An entry with one replica, and nothing under way."""
+    """An entry with one replica and no requests in flight."""
 
     def __init__(self):
         self.loop = _Loop()
@@ -93,90 +93,92 @@
 
 
 @pytest.fixture
-def talk():
+def entry():
     found = peers.Peers(_Node(), ('127.0.0.1', 0), [])
     yield found
     found._endpoint.close()
 
 
-def test_a_flood_of_spoilt_messages_is_logged_once_a_host(talk, capsys):
+def test_a_flood_of_malformed_messages_is_logged_once_a_host(entry, capsys):
     for i in range(1000):
-        talk._received(b'\xc1', f'10.0.0.{i % 3 + 2}')
+        entry._on_datagram(b'\xc1', f'10.0.0.{i % 3 + 2}')
     assert capsys.readouterr().out.count('message_unreadable') == 3
-    assert talk._node.work.peer_view.members.alone
+    assert entry._node.work.peer_view.members.alone
 
 
-def test_a_message_tells_of_entries_that_were_not_known(talk):
+def test_a_message_lists_hosts_of_other_entries(entry):
     hosts = ('10.0.0.9', 'no address', '127.0.0.1')
     status = membership.Status('a', 1, 1, known_hosts=hosts)
-    talk._received(messages.encode(status), '10.0.0.2')
-    known = talk._node.work.peer_view.members.addresses(0.0)
+    entry._on_datagram(messages.encode(status), '10.0.0.2')
+    known = entry._node.work.peer_view.members.addresses(0.0)
     assert set(known) == {'10.0.0.2', '10.0.0.9'}
 
 
-def _hear(talk, count):
-    """Has ``count`` other entries speak once."""
+def _receive_statuses(entry, count):
+    """Has ``count`` other entries send one status each."""
     for i in range(count):
         status = membership.Status(f'e{i}', 1, 1, {}, {})
-        talk._received(messages.encode(status),
-                       f'10.0.{i // 250}.{i % 250 + 2}')
+        entry._on_datagram(messages.encode(status),
+                           f'10.0.{i // 250}.{i % 250 + 2}')
 
 
 @pytest.mark.parametrize('others', [8, 40, 86, 300])
-def test_messages_are_held_to_their_rate_by_any_number_of_entries(talk, others):
-    """Entries of a large deployment that spend their time on each other."""
-    _hear(talk, others)
-    talk._speak()
-    assert others / talk.heartbeat_s() <= peers.MAX_MESSAGES_PER_S * 1.25
-    assert talk.heartbeat_s() >= talk.min_pause_s()
+def test_the_message_rate_is_limited_for_any_number_of_entries(entry, others):
+    """Guards against a large deployment that is busy with its messages."""
+    _receive_statuses(entry, others)
+    entry._send_status()
+    assert others / entry.heartbeat_s() <= peers.MAX_MESSAGES_PER_S * 1.25
+    assert entry.heartbeat_s() >= entry.min_pause_s()
 
 
 @pytest.mark.parametrize('others', [8, 40, 86, 300])
-def test_nobody_is_taken_for_silent_between_two_heartbeats(talk, others):
-    """Entries that fall out of the sums by turns though all speak."""
-    _hear(talk, others)
-    talk._speak()
-    assert (talk._node.work.peer_view.members.silent_after_s
-            > 2 * talk.heartbeat_s())
+def test_no_entry_is_left_out_between_two_heartbeats(entry, others):
+    """Guards against live entries that drop out of the sums in turn."""
+    _receive_statuses(entry, others)
+    entry._send_status()
+    assert (entry._node.work.peer_view.members.silent_after_s
+            > 2 * entry.heartbeat_s())
 
 
-def test_a_replayed_message_tells_no_uses(talk):
-    """Prompts believed kept that were pushed out long ago."""
+def test_a_replayed_message_reports_no_prompt_uses(entry):
+    """Guards against counting prompts as cached that were evicted since."""
     parts = (prompts.Part('p', 900),)
     status = membership.Status('a',
                                1,
                                1,
                                prompt_uses=(prompts.Use('r', parts),))
-    kept = talk._node.replica.prompt_cache
-    talk._received(messages.encode(status), '10.0.0.2')
+    kept = entry._node.replica.prompt_cache
+    entry._on_datagram(messages.encode(status), '10.0.0.2')
     assert kept.cached_tokens(parts) == 900
     kept.record_use(tuple(prompts.Part(f'q{i}', 20000) for i in range(20)))
-    talk._received(messages.encode(status), '10.0.0.2')
+    entry._on_datagram(messages.encode(status), '10.0.0.2')
     assert kept.cached_tokens(parts) == 0
 
 
-def test_work_is_told_soon_and_by_one_timer(talk):
-    """A change is told when the shortest pause is over, not at the heartbeat,
-    and each further change waits for the same message."""
-    _hear(talk, 3)
-    talk._speak()
-    beat = talk._due
-    talk.schedule_status()
-    soon = talk._due
-    assert soon.due < beat.due
-    talk.schedule_status()
-    assert talk._due is soon
+def test_a_change_is_sent_soon_and_by_one_timer(entry):
+    """A change is sent after the shortest pause, not at the heartbeat.
 
+    Later changes go out with the same message.
+    """
+    _receive_statuses(entry, 3)
+    entry._send_status()
+    heartbeat = entry._timer
+    entry.schedule_status()
+    earliest = entry._timer
+    assert earliest.due < heartbeat.due
+    entry.schedule_status()
+    assert entry._timer is earliest
 
-class _Seen(knowledge.ReplicaView):
-    """Remembers the answers that were noted of it."""
+
+class _RecordingView(knowledge.ReplicaView):
+    """Records the responses that were reported for it."""
 
     def record_response(self, ok):
         self.seen.append(ok)
 
 
-def _seen():
-    target = _Seen(name='r', zone='z', slots=1, engine=False)
+def _recording_view():
+    target = _RecordingView(name='r', zone='z', slots=1, engine=False)
     target.error_share = 1.0
     target.seen = []
     return target
@@ -187,44 +189,47 @@
                        st.sampled_from(['told', 'twice', 'lost', 'late'])),
              min_size=1,
              max_size=peerview.MAX_RESPONSES))
-def test_each_answer_is_noted_once(steps):
-    """A sound replica avoided: one failed call told several times."""
-    own, theirs = _seen(), _seen()
-    teller = peerview.PeerView('teller', {'r': own}.get)
-    hearer = peerview.PeerView('hearer', {'r': theirs}.get)
-    told = []
-
-    def tell(status):
-        hearer.record_status('10.0.0.1', status, 0.0)
-
-    for seq, (ok, fate) in enumerate([*steps, (True, 'told')], 1):
-        teller.record_response(own, ok, 0.0)
-        status = teller.build_status(1, seq, [own], 0.0)
-        if fate != 'lost':
-            tell(status)
-        if fate == 'twice':
-            tell(status)
-        if fate == 'late' and told:
-            tell(told[0])
-        told.append(status)
+def test_each_response_is_recorded_once(steps):
+    """Guards against avoiding a healthy replica after one failed call.
+
+    That happens if the call is counted each time that it is reported.
+    """
+    own, theirs = _recording_view(), _recording_view()
+    sender = peerview.PeerView('sender', {'r': own}.get)
+    receiver = peerview.PeerView('receiver', {'r': theirs}.get)
+    sent = []
+
+    def deliver(status):
+        receiver.record_status('10.0.0.1', status, 0.0)
+
+    for seq, (ok, outcome) in enumerate([*steps, (True, 'told')], 1):
+        sender.record_response(own, ok, 0.0)
+        status = sender.build_status(1, seq, [own], 0.0)
+        if outcome != 'lost':
+            deliver(status)
+        if outcome == 'twice':
+            deliver(status)
+        if outcome == 'late' and sent:
+            deliver(sent[0])
+        sent.append(status)
     assert theirs.seen == own.seen[-len(theirs.seen):]
     assert len(theirs.seen) >= len(steps)
-    again = peerview.PeerView('teller', {'r': own}.get)
+    again = peerview.PeerView('sender', {'r': own}.get)
     again.record_response(own, False, 0.0)
-    tell(again.build_status(2, 1, [own], 0.0))
+    deliver(again.build_status(2, 1, [own], 0.0))
     assert theirs.seen[-1] is False
 
 
 @pytest.mark.parametrize('others', [20, 300])
-def test_many_entries_tell_of_those_that_are_new(talk, others):
-    """An entry that starts in a large deployment and hears few for long."""
-    members = talk._node.work.peer_view.members
+def test_many_entries_list_the_hosts_of_new_ones(entry, others):
+    """Guards against slow discovery when an entry joins many others."""
+    members = entry._node.work.peer_view.members
     now = time.monotonic()
     for i in range(others):
         host = f'10.0.{i // 250}.{i % 250 + 2}'
         members.record_status(host, membership.Status(f'e{i}', 1, 1),
                               now - 20.0)
         members.record_status(host, membership.Status(f'e{i}', 1, 2), now)
-    assert len(talk._told(members.live_hosts(now), now)) == 1
+    assert len(entry._choose_hosts(members.live_hosts(now), now)) == 1
     members.record_status('10.9.9.9', membership.Status('new', 1, 1), now)
-    assert talk._told(members.live_hosts(now), now) == ['10.9.9.9']
+    assert entry._choose_hosts(members.live_hosts(now), now) == ['10.9.9.9']
