--- a/gorsefall/relay/prober.py
+++ b/gorsefall/relay/prober.py
@@ -1,4 +1,4 @@
-"""Whether a replica whose channel broke has ended."""
+"""Determines whether a replica whose connection broke has exited."""
 
 import enum
 
@@ -8,39 +8,40 @@
 
 
 class Verdict(enum.Enum):
-    """What connecting to a replica shows of it."""
+    """What connecting to a replica shows about it."""
     ALIVE = 'alive'
     EXITED = 'ended'
     UNKNOWN = 'unknown'
 
 
 class _Probe:
-    """Finds out whether a replica's process is there, by connecting to it."""
+    """Determines whether a replica's process runs, by connecting to it."""
 
     def __init__(self, loop, addr, timeout_s, done):
         self._done = done
         self._conn = tcp.Connection(loop, self)
-        self._timer = loop.later(timeout_s, lambda: self._end(Verdict.UNKNOWN))
+        self._timer = loop.later(timeout_s,
+                                 lambda: self._finish(Verdict.UNKNOWN))
         self._conn.connect(addr)
 
     def on_connected(self):
         """See ``tcp.Connection``."""
-        self._end(Verdict.ALIVE)
+        self._finish(Verdict.ALIVE)
 
     def on_broken(self, reason):
         """See ``tcp.Connection``."""
         del reason
-        # Only a refusal is the VM's own word that no process listens there;
-        # a way that is cut shows as nothing at all.
-        self._end(Verdict.EXITED if self._conn.refused else Verdict.UNKNOWN)
+        # Only a refusal comes from the VM itself and shows that no process
+        # listens there. A network partition shows as a timeout.
+        self._finish(Verdict.EXITED if self._conn.refused else Verdict.UNKNOWN)
 
     def on_drained(self):
         """See ``tcp.Connection``."""
 
     def on_bytes(self, data):
-        """See ``tcp.Connection``; nothing was asked."""
+        """See ``tcp.Connection``; no request was sent."""
 
-    def _end(self, verdict):
+    def _finish(self, verdict):
         self._timer.cancel()
         self._conn.close()
         done, self._done = self._done, None
@@ -49,34 +50,34 @@
 
 
 class ReplicaProber:
-    """Looks after replicas whose channels broke, once for all who ask.
+    """Probes replicas whose connections broke, once for all callers.
 
-    A channel that breaks says nothing of its replica: that one may have
-    ended, or have cut just this answer and live on.
+    A broken connection does not show whether its replica exited: it may have
+    aborted this response only.
     """
 
     def __init__(self, loop):
-        """Creates it.
+        """Creates a prober without probes in progress.
 
         Args:
             loop: The ``reactor.Reactor``.
         """
         self._loop = loop
-        self._asked = {}
+        self._waiting = {}
         self._log = logs.get('ends')
 
     def probe(self, replica, done):
-        """Calls ``done(verdict)`` with whether a ``fleet.Replica`` is there."""
-        waiting = self._asked.get(replica)
+        """Calls ``done(verdict)`` with the state of a ``fleet.Replica``."""
+        waiting = self._waiting.get(replica)
         if waiting is not None:
             waiting.append(done)
             return
-        self._asked[replica] = [done]
+        self._waiting[replica] = [done]
         _Probe(self._loop, replica.record.addr, fleet.CONNECT_TIMEOUT_S,
-               lambda verdict: self._looked(replica, verdict))
+               lambda verdict: self._on_verdict(replica, verdict))
 
-    def _looked(self, replica, verdict):
-        waiting = self._asked.pop(replica)
+    def _on_verdict(self, replica, verdict):
+        waiting = self._waiting.pop(replica)
         self._log.info('replica_looked_after',
                        replica=replica.record.id,
                        status=replica.record.status.value,
--- a/gorsefall/relay/replicalimits.py
+++ b/gorsefall/relay/replicalimits.py
@@ -1,4 +1,4 @@
-"""Keeps the limits that replicas announce, and tells the others of them."""
+"""Tracks the rate limits of replicas and reports them to other entries."""
 
 import typing
 
@@ -7,11 +7,11 @@
 from gorsefall.policy import membership
 
 REPORT_WINDOW_S = 6.0
-"""Time for which a message tells of an answer, s: twice and more to each of
-hundreds of entries."""
+"""Time for which a limit is included in status messages, s: each of hundreds of
+entries receives it at least twice."""
 
 SHARE_UPDATE_PERIOD_S = 0.5
-"""Pause after which the entries that send are worked out anew, s."""
+"""Pause between updates of the entries that share a limit, s."""
 
 
 class _Sender(typing.NamedTuple):
@@ -19,10 +19,10 @@
 
 
 class LimitTracker:
-    """The ``announced_limits.AnnouncedLimit`` of all replicas of a fleet."""
+    """Updates the ``announced_limits.AnnouncedLimit`` of each replica."""
 
     def __init__(self, loop, fleet, members):
-        """Creates it.
+        """Creates a tracker without limits; ``start`` begins.
 
         Args:
             loop: The ``reactor.Reactor``.
@@ -32,21 +32,21 @@
         self._loop = loop
         self._fleet = fleet
         self._members = members
-        self._announced = {}
+        self._limited = {}
         self._log = logs.get('announcing')
 
     def start(self):
-        """Begins to follow which entries are there."""
+        """Updates this entry's shares now and periodically."""
         self._loop.later(SHARE_UPDATE_PERIOD_S, self.start)
-        self._announced = {
+        self._limited = {
             name: replica
-            for name, replica in self._announced.items()
+            for name, replica in self._limited.items()
             if self._fleet.replicas.get(name) is replica
         }
-        for replica in self._announced.values():
-            self._set_part(replica)
+        for replica in self._limited.values():
+            self._update_share(replica)
 
-    def _set_part(self, replica):
+    def _update_share(self, replica):
         limit = replica.limit
         if limit.per_s is None:
             return
@@ -55,25 +55,25 @@
             _Sender(status.name)
             for _, status in self._members.live_statuses(self._loop.now)
         ]
-        found = announced_limits.senders(replica.record.id, [own, *others],
-                                         limit.per_s)
-        limit.share = 1 / len(found) if own in found else 0.0
+        senders = announced_limits.senders(replica.record.id, [own, *others],
+                                           limit.per_s)
+        limit.share = 1 / len(senders) if own in senders else 0.0
 
     def record_response(self, replica, per_s):
-        """Notes what an answer of a ``fleet.Replica`` said.
+        """Records the limit that a response of a ``fleet.Replica`` announced.
 
         Args:
             replica: The replica.
-            per_s: Requests a second of all entries; None where it named none.
+            per_s: Requests a second of all entries; None if it announced none.
         """
-        self._heard(replica, per_s, self._loop.now)
+        self._update_limit(replica, per_s, self._loop.now)
 
-    def _heard(self, replica, per_s, at):
+    def _update_limit(self, replica, per_s, at):
         before = replica.limit.per_s
         if not replica.limit.update(per_s, at):
             return
-        self._announced[replica.record.id] = replica
-        self._set_part(replica)
+        self._limited[replica.record.id] = replica
+        self._update_share(replica)
         self._log.info('limit_announced',
                        replica=replica.record.id,
                        per_s=per_s,
@@ -87,14 +87,14 @@
                 name, replica.record.started_at_ms,
                 int((now - replica.limit.announced_at) *
                     1000), replica.limit.per_s)
-            for name, replica in self._announced.items()
+            for name, replica in self._limited.items()
             if now - replica.limit.announced_at < REPORT_WINDOW_S)
 
     def handle_status(self, status):
-        """Takes in what the ``membership.Status`` of another entry tells."""
+        """Handles the ``membership.Status`` of another entry."""
         for limit in status.limit_reports:
             replica = self._fleet.replicas.get(limit.replica)
             if (replica is not None and
                     replica.record.started_at_ms == limit.started_at_ms):
-                self._heard(replica, limit.per_s,
-                            self._loop.now - limit.age_ms / 1000)
+                self._update_limit(replica, limit.per_s,
+                                   self._loop.now - limit.age_ms / 1000)
--- a/gorsefall/relay/routes.py
+++ b/gorsefall/relay/routes.py
@@ -5,27 +5,32 @@
 from gorsefall import errors
 
 RANK_COUNT = 10
-"""Ranks a replica tells apart, 0 the most urgent; more are put together."""
+"""Number of ranks that a replica distinguishes; 0 is the most urgent. If there
+are more pairs of priorities, several share a rank."""
 
 
 def _pair(account_priority, route_priority):
-    """Returns the priorities of an account and a route, in their order."""
+    """Returns the priorities of an account and a route, as a pair."""
     if account_priority is None:
         return route_priority, route_priority
     return account_priority, route_priority
 
 
-def _pairs(of_routes, of_accounts):
-    """Returns the pairs of priorities that there can be.
+def _all_pairs(route_priorities, account_priorities):
+    """Returns all pairs of priorities that can occur.
 
-    It goes by the few priorities there are. By each account with each route,
-    a table of thousands of both holds up every stream of the entry for as
-    long as a pause between events may last.
+    Combines the few distinct priorities. Combining each account with each
+    route would, with thousands of both, stall every stream of the entry for
+    as long as the longest allowed pause between events.
     """
-    return {_pair(a, r) for a in (None, *of_accounts) for r in of_routes}
+    return {
+        _pair(a, r)
+        for a in (None, *account_priorities)
+        for r in route_priorities
+    }
 
 
-def _numbered(pairs, key):
+def _assign_ranks(pairs, key):
     """Returns the rank of each pair, in the order of ``key``."""
     ordered = sorted(pairs, key=key)
     step = min(1.0, (RANK_COUNT - 1) / max(1, len(pairs) - 1))
@@ -33,14 +38,14 @@
 
 
 class Table:
-    """One version of the configuration, ready to be asked.
+    """One version of the configuration, indexed for requests.
 
     Attributes:
         version: Its version; higher is newer.
         routes: All ``model.Route``.
         services: ``name -> model.Service``.
         limits: The ``model.CallerLimits``.
-        accounts: ``key -> model.Account``; empty when no route needs a key.
+        accounts: ``key -> model.Account``; empty if no route needs a key.
         requires_key: Whether requests need a key.
     """
 
@@ -56,33 +61,33 @@
         for route in routes:
             self._by_host.setdefault(route.host, {})[route.prefix] = route
 
-        pairs = _pairs({r.priority for r in routes},
-                       {a.priority for a in accounts.values()})
-        self._ranks = _numbered(pairs, key=lambda p: p)
-        self._urgencies = _numbered(pairs, key=lambda p: (p[1], p[0]))
+        pairs = _all_pairs({r.priority for r in routes},
+                           {a.priority for a in accounts.values()})
+        self._admission_ranks = _assign_ranks(pairs, key=lambda p: p)
+        self._replica_ranks = _assign_ranks(pairs, key=lambda p: (p[1], p[0]))
 
     def admission_rank(self, account, route):
-        """Returns how urgent a request is, 0 the most, below ``RANKS``.
+        """Returns the rank of a request at the entry, below ``RANK_COUNT``.
 
         The account's priority goes first, the route's decides among equals.
-        With the account's alone, accounts of one priority put a chat and a
-        long digest on one level, and in an overload chats went without any
-        answer while digests began.
+        With the account's alone, a chat and a long digest of accounts of equal
+        priority would share a rank, and in an overload chats would get no
+        response while digests start.
         """
-        return self._ranks[self._key(account, route)]
+        return self._admission_ranks[self._priorities(account, route)]
 
     def replica_rank(self, account, route):
-        """Returns how urgent a request is at a replica, 0 the most.
+        """Returns the rank of a request at a replica, below ``RANK_COUNT``.
 
         The route's priority goes first, the account's decides among equals.
-        A replica puts back what runs for what is more urgent. With the
-        account's first, digests of a preferred account put back the chats of
-        all others, though a chat has begun to be read and is done sooner.
-        Which accounts come to a replica at all goes by ``rank``.
+        A replica preempts running requests for more urgent ones. With the
+        account's priority first, digests of a preferred account would preempt
+        the chats of all others, though these have begun prefill and complete
+        sooner. ``admission_rank`` decides which requests reach a replica.
         """
-        return self._urgencies[self._key(account, route)]
+        return self._replica_ranks[self._priorities(account, route)]
 
-    def _key(self, account, route):
+    def _priorities(self, account, route):
         priority = account.priority if account else None
         return _pair(priority, route.priority)
 
@@ -94,8 +99,9 @@
         """
         path = req.path
         prefixes = self._by_host.get(req.host, {})
-        # Prefixes end with a slash, so only the path's own slashes can end
-        # one; trying each keeps thousands of routes as quick as ten.
+        # Prefixes end with a slash, so a matching one ends at a slash of the
+        # path. The cost of trying each slash does not depend on the number of
+        # routes.
         end = path.rfind('/')
         while end >= 0:
             route = prefixes.get(path[:end + 1])
