--- a/tests/entries.py
+++ b/tests/entries.py
@@ -1,4 +1,4 @@
-"""Entries that share reads of a store, over a network that fails."""
+"""Entries that share reads of a store, over a network with faults."""
 
 import itertools
 import random
@@ -11,20 +11,21 @@
 from gorsefall.relay import sharing
 from gorsefall.relay import topic
 
-ASK_S = 1.0
-BOUND_S = 4.6
-"""Age up to which a proof holds, s."""
+QUERY_PAUSE_S = 1.0
+
+MAX_CONFIRMATION_AGE_S = 4.6
+"""Age up to which a confirmation is valid, s."""
 
 ALONE = topic.ReadPace(wait_s=1.15)
 SHARED = topic.ReadPace(wait_s=0.7)
 
 
 class Network:
-    """Datagrams between entries; each takes the next fate of a list."""
+    """Datagrams between entries; each takes the next outcome of a list."""
 
-    def __init__(self, loop, fates=()):
+    def __init__(self, loop, outcomes=()):
         self._loop = loop
-        self._fates = iter(fates)
+        self._outcomes = iter(outcomes)
         self.entries = {}
         self.cut = set()
         self.sent = 0
@@ -32,11 +33,11 @@
     def send(self, source, message, host):
         self.sent += 1
         data = messages.encode(message)
-        fate = next(self._fates, 'ok')
-        if fate == 'lost':
+        outcome = next(self._outcomes, 'ok')
+        if outcome == 'lost':
             return
         delays = {'late': [3.0], 'twice': [0.002, 5.0], 'slow': [0.2]}
-        for delay_s in delays.get(fate, [0.002]):
+        for delay_s in delays.get(outcome, [0.002]):
             self._loop.later(delay_s, lambda: self._arrive(source, data, host))
 
     def _arrive(self, source, data, host):
@@ -44,11 +45,11 @@
             return
         entry = self.entries.get(host)
         if entry is not None:
-            entry.received(messages.decode(data), source)
+            entry.handle_message(messages.decode(data), source)
 
 
-class OwnLoop:
-    """The loop as one entry sees it: nothing happens while it is frozen."""
+class EntryLoop:
+    """The loop of one entry, which can be frozen or dead."""
 
     def __init__(self, loop):
         self._loop = loop
@@ -72,13 +73,13 @@
         callback()
 
 
-class Reads(topic.Source):
+class StoreClient(topic.Source):
     """The store as one entry reaches it."""
 
     def __init__(self, loop, store):
         self._loop = loop
         self._store = store
-        self.away = False
+        self.unreachable = False
         self.calls = 0
 
     def read_snapshot(self, after, silence_s, done):
@@ -89,8 +90,8 @@
 
     def _call(self, call, done, *args):
         self.calls += 1
-        if self.away:
-            error = errors.StoreError('turned away')
+        if self.unreachable:
+            error = errors.StoreError('store unreachable')
             self._loop.later(0.004, lambda: done(None, error))
             return
         call(*args,
@@ -107,28 +108,28 @@
         self.start()
 
     def start(self):
-        """Starts a process, which knows nothing."""
-        self.loop = OwnLoop(self.site.loop)
-        self.reads = Reads(self.loop, self.site.store)
-        self.belief = stores.Belief(self.site.store)
+        """Starts a process without any state."""
+        self.loop = EntryLoop(self.site.loop)
+        self.client = StoreClient(self.loop, self.site.store)
+        self.observed = stores.ObservedState(self.site.store)
         self.sharing = sharing.SharedReads(
             self.loop, self.own, lambda: self.site.others(self),
             lambda message, host: self.site.network.send(
                 self.own.host, message, host), self.site.rng)
         follower = topic.Follower(self.loop,
-                                  self.reads,
-                                  self.belief,
+                                  self.client,
+                                  self.observed,
                                   name='t',
                                   pace=ALONE,
                                   on_change=self.sharing.send_hints)
         self.sharing.set_followers(
             {'t': sharing.FollowedTopic(follower, ALONE, SHARED)}, 'store',
-            ASK_S)
+            QUERY_PAUSE_S)
         self.follower = follower
         follower.start()
         self.sharing.start()
 
-    def received(self, message, host):
+    def handle_message(self, message, host):
         self.loop.call(lambda: self.sharing.handle_message(message, host))
 
     def age_s(self):
@@ -136,13 +137,13 @@
 
 
 class Site:
-    """Entries of some zones beside one store."""
+    """Entries of some zones with one store."""
 
-    def __init__(self, per_zone, zones='ab', faults=(), fates=(), seed=1):
+    def __init__(self, per_zone, zones='ab', faults=(), outcomes=(), seed=1):
         self.loop = stores.Loop()
         self.rng = random.Random(seed)
         self.store = stores.Store(self.loop, faults)
-        self.network = Network(self.loop, fates)
+        self.network = Network(self.loop, outcomes)
         self.store.put('a', b'first')
         for zone, number in itertools.product(zones, range(per_zone)):
             host = f'{zone}{number}'
@@ -163,7 +164,7 @@
         self.loop.run(self.loop.now + for_s)
 
     def calls(self):
-        return sum(e.reads.calls for e in self.entries)
+        return sum(e.client.calls for e in self.entries)
 
-    def leaders(self):
+    def readers(self):
         return [e for e in self.entries if e.sharing.is_reader]
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Peers that send scripted bytes, and a loop to run against them."""
+"""Peers that send scripted bytes, and a reactor to run against them."""
 
 import contextlib
 import threading
@@ -9,9 +9,9 @@
 
 
 class ScriptedPeer(acceptor.Acceptor):
-    """Accepts connections; answers each request with the next script.
+    """Accepts connections; responds to each request with the next script.
 
-    A script is a list of byte pieces, sent one by one; a final ``None``
+    A script is a list of pieces of bytes, sent one by one; a final ``None``
     closes the connection.
     """
 
@@ -41,7 +41,7 @@
 
 
 def run(loop, check, timeout_s=10.0):
-    """Steps ``loop`` until ``check()``; a bound against hangs."""
+    """Steps ``loop`` until ``check()`` is true; fails after ``timeout_s``."""
     end = time.monotonic() + timeout_s
     while not check():
         assert time.monotonic() < end, 'timed out'
--- a/tests/stores.py
+++ b/tests/stores.py
@@ -1,4 +1,4 @@
-"""A store without network whose answers fail, and what is believed of it."""
+"""A store without network whose responses fail, and a listener's state."""
 
 from gorsefall import errors
 from gorsefall.emulator import clock
@@ -6,36 +6,36 @@
 from gorsefall.relay import topic
 
 READ_RECORDS = 3
-"""Records that one read holds."""
+"""Most records of one read."""
 
 LONG_S = 4.0
-"""How long an answer takes on a slow link, s."""
+"""How long a response takes on a slow link, s."""
 
 Loop = clock.Loop
 
 
 class Store(topic.Source):
-    """Keeps all records; each answer takes the next fault of a list."""
+    """Keeps all records; each response takes the next fault of a list."""
 
     def __init__(self, loop, faults):
         self._loop = loop
         self._faults = iter(faults)
         self.records = []
-        self.written = []
+        self.written_at = []
         self.first = 0
 
     def put(self, key, value):
         self.records.append(changes.Record(key, value, len(self.records)))
-        self.written.append(self._loop.now)
+        self.written_at.append(self._loop.now)
 
-    def _answer(self, make, silence_s, done):
+    def _respond(self, make, silence_s, done):
         fault = next(self._faults, 'ok')
         if fault == 'late':
-            # True when sent, on its way for long.
+            # Current when sent, but late.
             result = make()
             self._loop.later(silence_s * 0.9, lambda: done(result, None))
         elif fault == 'long':
-            # Its bytes come one after the other, so it is never silent.
+            # Its bytes arrive one after the other, without a silence.
             result = make()
             self._loop.later(LONG_S, lambda: done(result, None))
         elif fault in ('lost', 'busy'):
@@ -54,7 +54,7 @@
             return topic.SnapshotPage(found[:2],
                                       len(found) > 2, len(self.records))
 
-        self._answer(make, silence_s, done)
+        self._respond(make, silence_s, done)
 
     def read(self, offset, wait_s, max_kb, silence_s, done):
         if wait_s and offset >= len(self.records):
@@ -66,14 +66,14 @@
                 0.004,
                 lambda: done(None, errors.StoreError('gone', forgotten=True)))
             return
-        self._answer(
+        self._respond(
             lambda: topic.Batch(self.records[offset:offset + READ_RECORDS],
                                 min(offset + READ_RECORDS, len(self.records)),
                                 len(self.records)), silence_s, done)
 
 
-class Belief(topic.Listener):
-    """What a listener believes; whether it goes backwards or is wrong."""
+class ObservedState(topic.Listener):
+    """A listener's state; asserts that it never reverts or is outdated."""
 
     def __init__(self, store):
         self._store = store
@@ -98,15 +98,15 @@
 
     def on_confirmed(self, sent_at):
         self.confirmed.append(sent_at)
-        then = {
+        expected = {
             r.key: r
             for r, at in zip(
-                self._store.records, self._store.written, strict=True)
+                self._store.records, self._store.written_at, strict=True)
             if at < sent_at
         }
-        for key, record in then.items():
+        for key, record in expected.items():
             if self.offsets.get(key, -1) < record.offset:
-                # A listing leaves out what was dropped by then.
+                # A snapshot omits keys that were dropped by then.
                 assert key not in self.newest
                 assert self._dropped(key, record.offset)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The replica directory against a simple oracle."""
+"""The replica directory, compared to a simple model of the records."""
 
 import time
 
@@ -17,7 +17,7 @@
 
 
 class Loop:
-    """Timers that the test runs by hand."""
+    """Timers that the test fires itself."""
 
     def __init__(self):
         self.due = []
@@ -47,39 +47,37 @@
 
 @given(_STEPS, st.booleans())
 def test_new_work_goes_to_the_ready_only(steps, listed_at_end):
-    """Work for a replica that left.
+    """Guards against requests sent to a replica that is draining or gone.
 
-    Symptom: a request reaches a replica seconds after it said that it is
-    draining. Cause: a record was passed over.
+    That happens if a record is skipped.
     """
     directory = fleet.Fleet(Loop())
     directory.set_services(SERVICES)
-    truth = {}
+    expected = {}
     for what, name in steps:
         if what == 'remove':
             directory.remove(name, 0.0)
-            truth.pop(name, None)
+            expected.pop(name, None)
             continue
         status = (model.ReplicaStatus.READY
                   if what == 'put' else model.ReplicaStatus.DRAINING)
-        truth[name] = record(name, status)
-        directory.put(truth[name])
+        expected[name] = record(name, status)
+        directory.put(expected[name])
     if listed_at_end:
-        directory.keep_only(set(truth), 0.0)
-        for rec in truth.values():
+        directory.keep_only(set(expected), 0.0)
+        for rec in expected.values():
             directory.put(rec)
     ready = {
-        n for n, r in truth.items() if r.status is model.ReplicaStatus.READY
+        n for n, r in expected.items() if r.status is model.ReplicaStatus.READY
     }
     assert names(directory) == ready
 
 
-def test_lapsed_records_are_a_last_resort_until_they_had_time():
-    """Nothing to send to after an outage.
+def test_replicas_with_lapsed_records_are_a_last_resort():
+    """Guards against refusals for seconds after an outage of the store.
 
-    Symptom: refusals for seconds after the store's return. Sequence: the
-    store is away, records lapse since nobody can write, it returns. Cause:
-    the lapsed replicas were dropped though they live.
+    Replicas cannot write during the outage, and their records lapse. If they
+    are dropped at once, no replica is left to send to.
     """
     loop = Loop()
     directory = fleet.Fleet(loop)
@@ -100,7 +98,7 @@
 
 
 def test_a_record_before_its_service():
-    """A replica whose service comes with a later configuration is kept."""
+    """A replica is kept until a configuration with its service arrives."""
     directory = fleet.Fleet(Loop())
     directory.put(record('a', service='t'))
     assert not names(directory, 't')
@@ -108,13 +106,12 @@
     assert names(directory, 't') == {'a'}
 
 
-def test_a_replaced_replica_gets_no_more_work_though_its_record_lives():
-    """Refusals after a replica was restarted in place.
+def test_a_replaced_replica_receives_no_requests_while_its_record_remains():
+    """Guards against refusals after a replica was restarted in place.
 
-    Symptom: for three seconds a part of the requests is refused. Sequence: a
-    replica crashes, its successor takes the address under a new id, the old
-    record lapses only after three heartbeats. Cause: the record was believed
-    more than the answer from the address.
+    Its successor uses the address under a new id, and the old record lapses
+    only after three heartbeats. If the record counts for more than the
+    response from that address, part of the requests is refused until then.
     """
     directory = fleet.Fleet(Loop())
     directory.set_services(SERVICES)
@@ -136,13 +133,12 @@
     return directory
 
 
-def test_a_replica_that_starts_again_holds_nothing_of_before():
-    """A replica restarted under its id.
+def test_a_new_incarnation_of_a_replica_has_no_earlier_state():
+    """Guards against mixing up two incarnations with the same id.
 
-    Symptom: it is left out for failures of its earlier start, requests go to
-    it for prompts that it has to read anew, and a stream is to go on from a
-    copy that is gone. Sequence: it crashes and starts again, its record comes
-    with the same id and a later start. Cause: only the id told replicas apart.
+    Otherwise the new one is avoided for failures of the earlier one, receives
+    requests for prompts that it no longer caches, and is to resume streams
+    from a KV backup that is lost.
     """
     directory = _fleet(record('a', born=1000))
     before = directory.replicas['a']
@@ -156,24 +152,24 @@
     assert not after.view.prompt_cache.cached_tokens((prompts.Part('p', 900),))
 
 
-def test_a_record_of_an_earlier_start_is_passed_over():
+def test_a_record_of_an_earlier_incarnation_is_ignored():
     directory = _fleet(record('a', born=2000))
-    known = directory.replicas['a']
+    before = directory.replicas['a']
     directory.put(record('a', model.ReplicaStatus.DRAINING, born=1000, port=9))
-    assert directory.replicas['a'] is known
+    assert directory.replicas['a'] is before
     assert names(directory) == {'a'}
-    assert known.record.addr == ('127.0.0.1', 1)
+    assert before.record.addr == ('127.0.0.1', 1)
 
 
-def test_a_replica_that_moved_is_another_start():
-    """Requests sent to the address that it had."""
+def test_a_replica_with_a_new_address_is_a_new_incarnation():
+    """Guards against requests sent to the old address."""
     directory = _fleet(record('a'))
-    known = directory.replicas['a']
+    before = directory.replicas['a']
     directory.put(record('a', port=2))
-    assert directory.replicas['a'] is not known
+    assert directory.replicas['a'] is not before
 
 
-def test_a_replica_replaced_at_its_address_may_start_again():
+def test_a_replaced_replica_may_return_as_a_new_incarnation():
     directory = _fleet(record('a', born=1000))
     directory.drop_replaced('a')
     directory.put(record('a', born=1000))
@@ -182,7 +178,7 @@
     assert names(directory) == {'a'}
 
 
-def test_a_copy_at_a_replica_that_started_again_is_gone():
+def test_a_kv_backup_is_lost_with_its_incarnation():
     directory = _fleet(record('a', born=1000), record('b', born=1000))
     copy = backups.KvBackup(Loop(), directory)
     copy.choose_holder([directory.replicas['b']], 'request')
@@ -190,9 +186,11 @@
     assert copy.claim() is None
 
 
-def test_a_spoilt_record_names_no_replica_and_the_others_hold():
-    """Symptom: requests to a replica whose record nobody can read. Cause: the
-    record before it stayed in force."""
+def test_a_malformed_record_removes_only_its_replica():
+    """Guards against requests to a replica whose record is malformed.
+
+    That happens if the previous record of the replica stays in force.
+    """
     directory = _fleet(record('a'), record('b'))
     directory.mark_malformed('a')
     directory.mark_malformed('unknown')
@@ -203,13 +201,11 @@
     assert names(directory) == {'a'}
 
 
-def test_a_replica_that_leaves_gets_no_work_through_an_outage():
-    """Work for a replica that left, beside an outage.
+def test_a_draining_replica_receives_no_requests_during_an_outage():
+    """Guards against requests to a draining replica during an outage.
 
-    Symptom: requests reach a replica seconds after it said that it leaves.
-    Sequence: its record says so, the store goes away, the others' records
-    lapse, and it is the one whose record still stands. Cause it would have:
-    what is known before an outage counted for less than a last resort.
+    The records of the other replicas lapse, so that only the draining one has
+    a current record. It must still rank behind those of last resort.
     """
     directory = _fleet(record('a', model.ReplicaStatus.DRAINING), record('b'))
     directory.on_store_lost()
@@ -225,8 +221,8 @@
     return membership.Status('other', 1, 1, replica_exits=ended)
 
 
-def test_a_replica_that_another_entry_found_ended_gets_no_work():
-    """Each of many entries that sends to a crashed replica's address."""
+def test_a_replica_that_another_entry_found_exited_receives_no_requests():
+    """Guards against each of many entries sending to a crashed replica."""
     directory = fleet.Fleet(Loop())
     directory.set_services(SERVICES)
     for name in 'ab':
@@ -236,12 +232,12 @@
     assert names(directory) == {'a', 'b'}
     directory.handle_status(_status(membership.ReplicaExit('a', 5, 100)), now)
     assert names(directory) == {'b'}
-    told, = directory.recent_exits(now)
-    assert (told.replica, told.started_at_ms) == ('a', 5)
+    report, = directory.recent_exits(now)
+    assert (report.replica, report.started_at_ms) == ('a', 5)
 
 
-def test_a_replica_that_goes_on_writing_has_not_ended():
-    """A sound replica left alone for good for what one entry believed."""
+def test_a_replica_that_keeps_writing_has_not_exited():
+    """Guards against excluding a live replica forever by a false report."""
     directory = fleet.Fleet(Loop())
     directory.set_services(SERVICES)
     for name in 'ab':
@@ -255,8 +251,8 @@
     assert names(directory) == {'a', 'b'}
 
 
-def test_replicas_found_ended_are_a_last_resort():
-    """Requests refused though a replica may be there after all."""
+def test_replicas_found_exited_are_a_last_resort():
+    """Guards against refusals although a replica may still be alive."""
     directory = fleet.Fleet(Loop())
     directory.set_services(SERVICES)
     directory.put(record('a'))
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Finding the route of a request, against a plain search."""
+"""Routes of requests, compared to a plain search, and their ranks."""
 
 import dataclasses
 
@@ -65,7 +65,7 @@
 
 def _ranked(account_priorities,
             route_priorities,
-            ask=routes.Table.admission_rank):
+            rank_of=routes.Table.admission_rank):
     accounts = [
         model.Account(name=f'a{i}', priority=p)
         for i, p in enumerate(account_priorities)
@@ -76,32 +76,28 @@
     ]
     table = _table(found, accounts)
     return {
-        (a.priority, r.priority): ask(table, a, r) for a in accounts
+        (a.priority, r.priority): rank_of(table, a, r) for a in accounts
         for r in found
     }
 
 
 def test_among_equal_accounts_the_more_urgent_route_goes_first():
-    """The most urgent class starves in an overload.
+    """Guards against starving the most urgent class in an overload.
 
-    Symptom: a quarter of the chats get nothing while digests of ten times
-    their size begin. Sequence: replicas leave, all that is left has long
-    queues. Cause: nearly all accounts have one priority, which replaced the
-    routes' own, so that the replicas served in order of arrival.
+    Nearly all accounts have the same priority. If it replaces the priority of
+    the route, replicas with long queues serve in order of arrival: a quarter
+    of the chats get no response while digests of ten times their size start.
     """
     ranks = _ranked([0, 1, 1], [0, 1, 2])
     assert ranks[0, 2] < ranks[1, 0] < ranks[1, 1] < ranks[1, 2]
 
 
-def test_a_running_chat_is_not_put_back_for_a_digest():
-    """Preemption upside down.
+def test_a_running_chat_is_not_preempted_for_a_digest():
+    """Guards against preempting chats for digests of a preferred account.
 
-    Symptom: 32 to 38 chats of a day are put back by a replica while digests
-    run on there. Sequence: one replica is left and its slots are full; digests
-    of a preferred account come. Cause: at replicas too the account's priority
-    went before the route's, so these digests ranked before the chats of all
-    others. What showed it: at the moment of the first, only chats and the
-    digests of preferred accounts were running.
+    If the account's priority goes before the route's at a replica too, such
+    digests rank before the chats of all other accounts. On a replica with full
+    slots, 32 to 38 chats a day are then preempted while digests keep running.
     """
     ranks = _ranked([0, 1], [0, 1], routes.Table.replica_rank)
     assert ranks[0, 0] < ranks[1, 0] < ranks[0, 1] < ranks[1, 1]
@@ -115,16 +111,16 @@
     return pair[1], pair[0]
 
 
-@pytest.mark.parametrize('ask, order',
+@pytest.mark.parametrize('rank_of, order',
                          [(routes.Table.admission_rank, _accounts_first),
                           (routes.Table.replica_rank, _routes_first)])
 @given(account_priorities=st.lists(st.none() | st.integers(0, 9),
                                    min_size=1,
                                    max_size=8),
        route_priorities=st.lists(st.integers(0, 9), min_size=1, max_size=8))
-def test_ranks_keep_the_order_and_the_bound(ask, order, account_priorities,
+def test_ranks_keep_the_order_and_the_bound(rank_of, order, account_priorities,
                                             route_priorities):
-    ranks = _ranked(account_priorities, route_priorities, ask)
+    ranks = _ranked(account_priorities, route_priorities, rank_of)
     assert all(0 <= r < routes.RANK_COUNT for r in ranks.values())
 
     def key(pair):
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""Reads of the store that entries share, when entries and the store fail."""
+"""Shared reads of the store, with faults of entries, network and store."""
 
 import random
 from unittest import mock
@@ -24,7 +24,7 @@
         yield
 
 
-def _play(site, for_s):
+def _run(site, for_s):
     with mock.patch.object(freshness, 'clock', lambda: site.loop.now):
         site.run(for_s)
 
@@ -38,17 +38,17 @@
 _STEPS = st.lists(st.tuples(
     st.sampled_from([
         'put', 'drop', 'forget', 'wait', 'freeze', 'restart', 'cut', 'join',
-        'turn_away', 'take_back'
+        'lose_store', 'regain_store'
     ]), st.integers(0, 7), st.sampled_from('abc'), st.floats(0.0, 2.0)),
                   max_size=30)
 _FAULTS = st.lists(st.sampled_from(['ok', 'ok', 'late', 'lost', 'busy']),
                    max_size=60)
-_FATES = st.lists(st.sampled_from(['ok', 'ok', 'late', 'lost', 'twice',
-                                   'slow']),
-                  max_size=80)
+_OUTCOMES = st.lists(st.sampled_from(
+    ['ok', 'ok', 'late', 'lost', 'twice', 'slow']),
+                     max_size=80)
 
 
-def _do(site, what, entry, key, value):
+def _apply_step(site, what, entry, key, value):
     if what == 'put':
         site.store.put(key, value)
     elif what == 'drop':
@@ -64,72 +64,77 @@
         site.network.cut.add(entry.own.host)
     elif what == 'join':
         site.network.cut.clear()
-    elif what in ('turn_away', 'take_back'):
-        entry.reads.away = what == 'turn_away'
+    elif what in ('lose_store', 'regain_store'):
+        entry.client.unreachable = what == 'lose_store'
 
 
 @settings(max_examples=150, deadline=None)
-@given(_FAULTS, _FATES, _STEPS)
-def test_no_proof_is_younger_than_the_truth(faults, fates, steps):
-    """A revoked key let in, or a replica that is gone, on another's word.
+@given(_FAULTS, _OUTCOMES, _STEPS)
+def test_no_confirmation_is_dated_too_late(faults, outcomes, steps):
+    """Guards against trusting revoked keys or dropped replicas.
 
-    ``stores.Belief`` checks at each confirmation that all written before the
-    moment that it dates from is known.
+    That happens if the changes of another entry confirm more than they
+    contain. ``stores.ObservedState`` asserts at each confirmation that all
+    records written before its time have been applied.
     """
-    site = _site(4, faults=faults, fates=fates)
-    truth = {'a': b'first'}
+    site = _site(4, faults=faults, outcomes=outcomes)
+    expected = {'a': b'first'}
 
     def play():
         for i, (what, number, key, wait_s) in enumerate(steps):
             entry = site.entries[number]
-            _do(site, what, entry, key, b'%d' % i)
+            _apply_step(site, what, entry, key, b'%d' % i)
             if what == 'put':
-                truth[key] = b'%d' % i
+                expected[key] = b'%d' % i
             elif what == 'drop':
-                truth.pop(key, None)
+                expected.pop(key, None)
             site.run(wait_s)
         for entry in site.entries:
-            entry.reads.away = False
+            entry.client.unreachable = False
         site.network.cut.clear()
         site.run(60.0)
 
     with mock.patch.object(freshness, 'clock', lambda: site.loop.now):
         play()
     for entry in site.entries:
-        assert entry.belief.newest == truth
-        assert entry.age_s() < entries.BOUND_S
+        assert entry.observed.newest == expected
+        assert entry.age_s() < entries.MAX_CONFIRMATION_AGE_S
 
 
 @pytest.mark.parametrize('per_zone', [3, 20, 60])
 def test_calls_do_not_grow_with_entries(per_zone):
-    """A store whose calls cost more than its replicas earn: 226 a second."""
+    """Guards against store calls that grow with entries, at a cost per call.
+
+    Entries that each read the store make 226 calls a second.
+    """
     site = _site(per_zone)
-    _play(site, 10.0)
+    _run(site, 10.0)
     before = site.calls()
-    _play(site, 20.0)
-    leaders = max(readers.MIN_READERS,
-                  -(-len(site.entries) // readers.ENTRIES_PER_READER))
-    assert len(site.leaders()) == leaders
-    most = (20.0 / entries.SHARED.wait_s + 1) * leaders
-    assert site.calls() - before <= most
-    assert max(e.age_s() for e in site.entries
-              ) < entries.SHARED.max_confirmation_age_s + 1.5 * entries.ASK_S
-
-
-def test_an_entry_alone_reads_as_before():
+    _run(site, 20.0)
+    reader_count = max(readers.MIN_READERS,
+                       -(-len(site.entries) // readers.ENTRIES_PER_READER))
+    assert len(site.readers()) == reader_count
+    max_calls = (20.0 / entries.SHARED.wait_s + 1) * reader_count
+    assert site.calls() - before <= max_calls
+    assert max(
+        e.age_s() for e in site.entries
+    ) < entries.SHARED.max_confirmation_age_s + 1.5 * entries.QUERY_PAUSE_S
+
+
+def test_a_single_entry_reads_at_its_own_pace():
     site = _site(1, zones='a')
-    _play(site, 20.0)
+    _run(site, 20.0)
     assert site.calls() <= 20.0 / entries.ALONE.wait_s + 3
 
 
-def test_a_change_is_known_at_once():
-    """A configuration that is in force late at entries that do not read."""
+def test_a_change_reaches_all_entries_at_once():
+    """Guards against a late configuration at entries that are no readers."""
     site = _site(10)
-    _play(site, 10.0)
+    _run(site, 10.0)
     site.store.put('b', b'new')
-    # A read that waits returns at its next look at the records.
-    _play(site, entries.SHARED.wait_s + 0.1)
-    assert all(e.belief.newest.get('b') == b'new' for e in site.entries)
+    # A waiting read checks for records again at the end of its wait.
+    _run(site, entries.SHARED.wait_s + 0.1)
+    assert all(e.observed.newest.get('b') == b'new' for e in site.entries)
 
 
 def _killed(site, entry):
@@ -144,49 +149,52 @@
     site.network.cut.add(entry.own.host)
 
 
-def _turned_away(site, entry):
-    entry.reads.away = True
+def _store_unreachable(site, entry):
+    entry.client.unreachable = True
 
 
-@pytest.mark.parametrize('fail', [_killed, _frozen, _cut_off, _turned_away])
+@pytest.mark.parametrize('fail',
+                         [_killed, _frozen, _cut_off, _store_unreachable])
 @pytest.mark.parametrize('share', ['one', 'zone', 'all'])
-def test_readers_that_fail_cost_no_proof(fail, share):
-    """Requests refused as unproven because others' readers are gone."""
+def test_failing_readers_leave_no_entry_unconfirmed(fail, share):
+    """Guards against refused requests after readers fail."""
     site = _site(10)
-    _play(site, 10.0)
-    failing = [e for e in site.leaders() if share == 'all' or e.own.zone == 'a']
+    _run(site, 10.0)
+    failing = [e for e in site.readers() if share == 'all' or e.own.zone == 'a']
     failing = failing[:1] if share == 'one' else failing
     for entry in failing:
         fail(site, entry)
-    sound = [e for e in site.entries if e not in failing]
+    healthy = [e for e in site.entries if e not in failing]
     for _ in range(100):
-        _play(site, 0.2)
-        assert max(e.age_s() for e in sound) < entries.BOUND_S
-        if fail is _turned_away:
-            assert max(e.age_s() for e in failing) < entries.BOUND_S
+        _run(site, 0.2)
+        assert max(e.age_s() for e in healthy) < entries.MAX_CONFIRMATION_AGE_S
+        if fail is _store_unreachable:
+            assert max(
+                e.age_s() for e in failing) < entries.MAX_CONFIRMATION_AGE_S
 
 
 def test_a_store_that_returns_is_not_stormed():
-    """All entries return to the store at once and for long."""
+    """Guards against all entries calling a returning store at once."""
     site = _site(60)
-    _play(site, 10.0)
+    _run(site, 10.0)
     for entry in site.entries:
-        entry.reads.away = True
+        entry.client.unreachable = True
     before = site.calls()
-    _play(site, 8.0)
+    _run(site, 8.0)
     assert site.calls() - before <= 6 * len(site.entries)
     for entry in site.entries:
-        entry.reads.away = False
+        entry.client.unreachable = False
     before = site.calls()
-    _play(site, 3.0)
-    assert max(e.age_s() for e in site.entries) < entries.BOUND_S
-    _play(site, 10.0)
+    _run(site, 3.0)
+    assert max(e.age_s() for e in site.entries) < entries.MAX_CONFIRMATION_AGE_S
+    _run(site, 10.0)
     assert site.calls() - before <= 4 * len(site.entries)
-    assert max(e.age_s() for e in site.entries
-              ) < entries.SHARED.max_confirmation_age_s + 1.5 * entries.ASK_S
+    assert max(
+        e.age_s() for e in site.entries
+    ) < entries.SHARED.max_confirmation_age_s + 1.5 * entries.QUERY_PAUSE_S
 
 
-def test_what_was_missed_is_told_whole_or_not_at_all():
+def test_changes_are_sent_completely_or_not_at_all():
     recent = changes.RecentChanges()
     recent.reset(10)
     small = [changes.Record(f'k{o}', b'x' * 100, o) for o in range(10, 15)]
@@ -209,10 +217,10 @@
                                 changes.MAX_SENT_BYTES_CUT_OFF).complete
 
 
-def test_what_cannot_be_unpacked_confirms_nothing():
-    """A configuration taken for confirmed that did not arrive."""
+def test_changes_that_cannot_be_unpacked_confirm_nothing():
+    """Guards against confirming a configuration that was not received."""
     site = _site(3)
-    _play(site, 10.0)
+    _run(site, 10.0)
     follower = next(e for e in site.entries if not e.sharing.is_reader).follower
     before = follower.confirmed_at, follower.offset
     good = changes.pack(changes.Record('b', b'y' * 9000, 1))
@@ -224,33 +232,33 @@
     assert (follower.confirmed_at, follower.offset) == before
 
 
-def test_an_entry_cut_off_from_the_store_is_told_a_large_record():
-    """Requests with a key refused where others hold the configuration."""
+def test_an_entry_cut_off_from_the_store_receives_a_large_record():
+    """Guards against refusing keys of a configuration that others have."""
     site = _site(10)
-    _play(site, 10.0)
+    _run(site, 10.0)
     entry = next(e for e in site.entries if not e.sharing.is_reader)
-    entry.reads.away = True
+    entry.client.unreachable = True
     large = site.rng.randbytes(4 * changes.MAX_SENT_BYTES)
     site.store.put('b', large)
-    _play(site, 3.0)
-    assert entry.belief.newest['b'] == large
-    assert entry.age_s() < entries.BOUND_S
+    _run(site, 3.0)
+    assert entry.observed.newest['b'] == large
+    assert entry.age_s() < entries.MAX_CONFIRMATION_AGE_S
 
 
-def test_a_negative_age_is_not_believed():
-    """A proof from the future, of an entry at fault."""
+def test_a_negative_age_is_rejected():
+    """Guards against a confirmation from the future by a faulty entry."""
     told = messages.Told(1, {'t': changes.ChangeSet(-5.0, 3)})
     with pytest.raises(msgspec.DecodeError):
         messages.decode(messages.encode(told))
 
 
-def test_an_answer_to_an_earlier_process_is_passed_over():
+def test_a_response_to_an_earlier_process_is_ignored():
     site = _site(3)
-    _play(site, 10.0)
+    _run(site, 10.0)
     entry = next(e for e in site.entries if not e.sharing.is_reader)
     before = entry.follower.confirmed_at
     for number in (0, 1 << 62):
-        entry.received(messages.Told(number, {'t': changes.ChangeSet(0.0, 99)}),
-                       'a0')
+        entry.handle_message(
+            messages.Told(number, {'t': changes.ChangeSet(0.0, 99)}), 'a0')
     assert entry.follower.confirmed_at == before
     assert entry.follower.offset < 99
--- a/tests/test_topic.py
+++ b/tests/test_topic.py
@@ -1,4 +1,4 @@
-"""Following a topic through a store that fails, against the true records."""
+"""Followers of a store with faults, compared to the store's records."""
 
 from unittest import mock
 
@@ -19,67 +19,74 @@
 
 
 @given(_FAULTS, _STEPS)
-def test_belief_reaches_the_truth_and_never_goes_back(faults, steps):
-    """An old configuration in force again, by an answer that came late."""
+def test_observed_state_becomes_current_and_never_reverts(faults, steps):
+    """Guards against a late response that restores an old configuration."""
     loop = stores.Loop()
     store = stores.Store(loop, faults)
-    belief = stores.Belief(store)
-    truth = {}
+    observed = stores.ObservedState(store)
+    expected = {}
     with mock.patch.object(freshness, 'clock', lambda: loop.now):
-        topic.Follower(loop, store, belief, name='t', pace=PACE).start()
+        topic.Follower(loop, store, observed, name='t', pace=PACE).start()
         for i, (what, key, wait_s) in enumerate(steps):
             if what == 'put':
-                truth[key] = b'%d' % i
-                store.put(key, truth[key])
+                expected[key] = b'%d' % i
+                store.put(key, expected[key])
             elif what == 'series':
                 for value in range(2 * stores.READ_RECORDS):
-                    truth[key] = b'%d.%d' % (i, value)
-                    store.put(key, truth[key])
+                    expected[key] = b'%d.%d' % (i, value)
+                    store.put(key, expected[key])
             elif what == 'drop':
-                truth.pop(key, None)
+                expected.pop(key, None)
                 store.put(key, b'')
             elif what == 'forget':
                 store.first = len(store.records)
             loop.run(loop.now + wait_s)
         loop.run(loop.now + 60.0)
-    assert belief.newest == truth
-    assert belief.confirmed == sorted(belief.confirmed)
+    assert observed.newest == expected
+    assert observed.confirmed == sorted(observed.confirmed)
 
 
-def test_a_listing_goes_on_where_it_failed():
-    """An entry that never becomes ready beside a store that loses answers."""
+def test_a_snapshot_continues_at_the_page_that_failed():
+    """Guards against entries that never become ready.
+
+    If each failure restarted the snapshot, it would not complete with a store
+    that loses responses.
+    """
     loop = stores.Loop()
     store = stores.Store(loop, ['ok', 'lost'] * 10)
     for key in 'abcdefgh':
         store.put(key, key.encode())
-    belief = stores.Belief(store)
-    topic.Follower(loop, store, belief, name='t', pace=PACE).start()
+    observed = stores.ObservedState(store)
+    topic.Follower(loop, store, observed, name='t', pace=PACE).start()
     loop.run(10.0)
-    assert sorted(belief.newest) == list('abcdefgh')
+    assert sorted(observed.newest) == list('abcdefgh')
+
 
+def test_a_read_follows_a_slow_response_at_once():
+    """Guards against refused requests right after a large change.
 
-def test_a_long_answer_is_confirmed_anew_at_once():
-    """Requests refused as unproven right after a large change."""
+    A slow response confirms only the state of when it was requested.
+    """
     loop = stores.Loop()
     store = stores.Store(loop, ['ok', 'ok', 'long'])
     store.put('a', b'1')
-    belief = stores.Belief(store)
+    observed = stores.ObservedState(store)
     with mock.patch.object(freshness, 'clock', lambda: loop.now):
         topic.Follower(loop,
                        store,
-                       belief,
+                       observed,
                        name='t',
                        pace=topic.ReadPace(wait_s=1.2)).start()
         loop.run(2.0)
         store.put('a', b'2')
-        while belief.newest['a'] != b'2':
+        while observed.newest['a'] != b'2':
             loop.run(loop.now + 0.01)
         loop.run(loop.now + 0.05)
-        assert loop.now - belief.confirmed[-1] < 0.1
+        assert loop.now - observed.confirmed[-1] < 0.1
 
 
-def test_proof_dates_from_when_the_read_was_sent(monkeypatch):
-    """A revoked key let in after a late answer."""
+def test_a_confirmation_dates_from_when_the_read_was_sent(monkeypatch):
+    """Guards against accepting a revoked key after a late response."""
     now = [100.0]
     monkeypatch.setattr(freshness, 'clock', lambda: now[0])
     proof = freshness.Confirmation(4.6)
@@ -90,7 +97,7 @@
     assert proof.is_current()
     now[0] += 1.0
     assert not proof.is_current()
-    # An older read that is answered afterwards takes nothing back.
+    # The late response of an older read does not revert the confirmation.
     proof.record_read(now[0])
     proof.record_read(sent_at)
     assert proof.is_current()
