--- a/gorsefall/relay/crashes.py
+++ b/gorsefall/relay/crashes.py
@@ -20,12 +20,13 @@
 entries receives it at least twice."""
 
 MAX_REPORTS = 32
-"""Most reports in a status message; the newest ones, 2 KB."""
+"""Most reports in a status message, 2 KB; only the newest are sent."""
 
 MIN_QUERY_PAUSE_S = 1.0
 """Shortest pause between two queries for the suspects of other entries, s."""
 
 EXPIRY_PERIOD_S = 30.0
+"""Pause between removals of expired suspects, s."""
 
 
 class BrokenRun(typing.NamedTuple):
@@ -110,10 +111,10 @@
     def try_begin_run(self, digest, exchange):
         """Returns whether an exchange may send a request now.
 
-        A request that is held runs at one replica at a time: concurrent runs
-        could crash several replicas before the first crash is detected. The
-        other exchanges are parked; their ``go_on`` is called when that run is
-        over.
+        A request that must be serialized runs at one replica at a time, as
+        concurrent runs could crash several replicas before the first crash is
+        detected. The other exchanges are parked; their ``go_on`` is called
+        when that run is over.
 
         Raises:
             errors.CrashesReplicasError: It is a poison request.
@@ -206,12 +207,12 @@
         if not self.suspects.weight(digest):
             return
         now = self._clock()
-        blamed = digest in self.suspects.poison_requests
+        was_poison = digest in self.suspects.poison_requests
         if self.suspects.record_completion(digest, now):
             metrics.CRASHING.labels('cleared').inc()
             self._log.info('request_cleared', digest=digests.shown(digest))
             self._reported.append((now, digest, None))
-            if blamed:
+            if was_poison:
                 self.on_cleared(digest)
 
     # -- reports to and from other entries -------------------------------------
@@ -231,12 +232,12 @@
         if crash is None:
             return membership.RunReport(digest,
                                         _age_ms(suspect.last_completed_at, now))
-        seen = suspect.crashes.get(crash)
-        if seen is None:
+        record = suspect.crashes.get(crash)
+        if record is None:
             return None
-        return membership.RunReport(digest, _age_ms(seen.seen_at, now),
+        return membership.RunReport(digest, _age_ms(record.seen_at, now),
                                     crash.replica, crash.started_at_ms,
-                                    int(seen.weight))
+                                    int(record.weight))
 
     def reports_of(self, digest):
         """Returns the ``membership.RunReport`` objects of a suspect, a list."""
@@ -264,12 +265,12 @@
             self._peers.send(messages.AskSuspects(), host)
 
     def send_suspects(self, host):
-        """Sends the reports of the gravest suspects to an entry."""
-        grave = sorted(self.suspects.reportable(),
-                       key=self.suspects.weight,
-                       reverse=True)
+        """Sends an entry the reports of the suspects with the most weight."""
+        digests_by_weight = sorted(self.suspects.reportable(),
+                                   key=self.suspects.weight,
+                                   reverse=True)
         reports = []
-        for digest in grave:
+        for digest in digests_by_weight:
             reports += self.reports_of(digest)
         self._peers.send(messages.Suspects(tuple(reports[:2 * MAX_REPORTS])),
                          host)
--- a/gorsefall/relay/pacing.py
+++ b/gorsefall/relay/pacing.py
@@ -9,8 +9,8 @@
 MAX_CONFIG_WAIT_S = 1.2
 """Longest time a read of the configuration waits at the store, s: the store
 charges by the call. Each response renews the confirmation, whose age stays
-under twice this time while all is well. The bound on lost responses below
-holds for longer faults."""
+under twice this time while all is well; ``MIN_READS_PER_BOUND`` covers longer
+faults."""
 
 LOST_READ_MARGIN_S = 0.3
 """Part of the bound on a new configuration left for the next response after a
--- a/gorsefall/relay/sharing.py
+++ b/gorsefall/relay/sharing.py
@@ -54,7 +54,8 @@
 """Time after a query in which its sender receives hints, s."""
 
 READ_AFTER_QUERY_S = 2.0
-"""Time for which an entry reads the store after a query, s: two queries."""
+"""Time for which an entry reads the store after it was queried, s: two
+queries."""
 
 MAX_FAILED_READS = 3
 """Consecutive failed reads from which an entry is no reader."""
--- a/gorsefall/relay/workload.py
+++ b/gorsefall/relay/workload.py
@@ -62,12 +62,12 @@
             exclude: Ids of the replicas that it was sent to before.
             urgent: See ``fleet.Fleet.candidates``.
         """
-        targets = [
+        views = [
             r.view
             for r in self._fleet.candidates(service, exclude, urgent=urgent)
         ]
-        self.peer_view.update_views(targets, time.monotonic())
-        return targets
+        self.peer_view.update_views(views, time.monotonic())
+        return views
 
     def draining_views(self, service):
         """Returns the views of draining replicas.
@@ -80,9 +80,9 @@
             if r.record.status is model.ReplicaStatus.DRAINING
         ]
 
-    def replica_addr(self, target):
+    def replica_addr(self, view):
         """Returns the address of a view's replica; None if it was dropped."""
-        replica = self._fleet.replicas.get(target.name) if target else None
+        replica = self._fleet.replicas.get(view.name) if view else None
         return replica.record.addr if replica is not None else None
 
     def others_first_attempts(self, service):
@@ -101,19 +101,19 @@
         """Records whether a replica's response was what the caller needed."""
         self.peer_view.record_response(replica.view, ok, time.monotonic())
 
-    def status(self, started_at_ms, seq, hosts, **more):
+    def status(self, started_at_ms, seq, known_hosts, **fields):
         """Returns the ``membership.Status`` to send to the other entries.
 
         Args:
             started_at_ms: See ``peerview.PeerView.build_status``.
             seq: See there.
-            hosts: See there.
-            **more: Its other keywords.
+            known_hosts: See there.
+            **fields: Its other keywords.
         """
-        targets = [r.view for r in self._fleet.replicas.values()]
+        views = [r.view for r in self._fleet.replicas.values()]
         return self.peer_view.build_status(started_at_ms,
                                            seq,
-                                           targets,
+                                           views,
                                            time.monotonic(),
-                                           known_hosts=hosts,
-                                           **more)
+                                           known_hosts=known_hosts,
+                                           **fields)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -26,14 +26,18 @@
         self.due.append(callback)
 
 
-def record(name, status=model.ReplicaStatus.READY, service='s', born=0, port=1):
+def record(name,
+           status=model.ReplicaStatus.READY,
+           service='s',
+           started_at_ms=0,
+           port=1):
     return model.ReplicaRecord(id=name,
                                service=service,
                                addr=('127.0.0.1', port),
                                zone='z',
                                slots=4,
                                status=status,
-                               started_at_ms=born)
+                               started_at_ms=started_at_ms)
 
 
 def names(directory, service='s'):
@@ -46,7 +50,7 @@
 
 
 @given(_STEPS, st.booleans())
-def test_new_work_goes_to_the_ready_only(steps, listed_at_end):
+def test_only_ready_replicas_receive_requests(steps, snapshot_at_end):
     """Guards against requests sent to a replica that is draining or gone.
 
     That happens if a record is skipped.
@@ -63,7 +67,7 @@
                   if what == 'put' else model.ReplicaStatus.DRAINING)
         expected[name] = record(name, status)
         directory.put(expected[name])
-    if listed_at_end:
+    if snapshot_at_end:
         directory.keep_only(set(expected), 0.0)
         for rec in expected.values():
             directory.put(rec)
@@ -98,7 +102,7 @@
 
 
 def test_a_record_before_its_service():
-    """A replica is kept until a configuration with its service arrives."""
+    """A replica is used as soon as a configuration with its service arrives."""
     directory = fleet.Fleet(Loop())
     directory.put(record('a', service='t'))
     assert not names(directory, 't')
@@ -140,12 +144,12 @@
     requests for prompts that it no longer caches, and is to resume streams
     from a KV backup that is lost.
     """
-    directory = _fleet(record('a', born=1000))
+    directory = _fleet(record('a', started_at_ms=1000))
     before = directory.replicas['a']
     before.view.record_failure(0.0)
     before.view.record_sent(5000)
     before.view.prompt_cache.record_use((prompts.Part('p', 900),))
-    directory.put(record('a', born=2000))
+    directory.put(record('a', started_at_ms=2000))
     after = directory.replicas['a']
     assert after is not before
     assert after.view.outstanding == after.view.failures == 0
@@ -153,9 +157,10 @@
 
 
 def test_a_record_of_an_earlier_incarnation_is_ignored():
-    directory = _fleet(record('a', born=2000))
+    directory = _fleet(record('a', started_at_ms=2000))
     before = directory.replicas['a']
-    directory.put(record('a', model.ReplicaStatus.DRAINING, born=1000, port=9))
+    directory.put(
+        record('a', model.ReplicaStatus.DRAINING, started_at_ms=1000, port=9))
     assert directory.replicas['a'] is before
     assert names(directory) == {'a'}
     assert before.record.addr == ('127.0.0.1', 1)
@@ -170,19 +175,20 @@
 
 
 def test_a_replaced_replica_may_return_as_a_new_incarnation():
-    directory = _fleet(record('a', born=1000))
+    directory = _fleet(record('a', started_at_ms=1000))
     directory.drop_replaced('a')
-    directory.put(record('a', born=1000))
+    directory.put(record('a', started_at_ms=1000))
     assert not names(directory)
-    directory.put(record('a', born=2000))
+    directory.put(record('a', started_at_ms=2000))
     assert names(directory) == {'a'}
 
 
 def test_a_kv_backup_is_lost_with_its_incarnation():
-    directory = _fleet(record('a', born=1000), record('b', born=1000))
+    directory = _fleet(record('a', started_at_ms=1000),
+                       record('b', started_at_ms=1000))
     copy = backups.KvBackup(Loop(), directory)
     copy.choose_holder([directory.replicas['b']], 'request')
-    directory.put(record('b', born=2000))
+    directory.put(record('b', started_at_ms=2000))
     assert copy.claim() is None
 
 
@@ -226,7 +232,7 @@
     directory = fleet.Fleet(Loop())
     directory.set_services(SERVICES)
     for name in 'ab':
-        directory.put(record(name, born=5))
+        directory.put(record(name, started_at_ms=5))
     now = time.monotonic()
     directory.handle_status(_status(membership.ReplicaExit('a', 4, 0)), now)
     assert names(directory) == {'a', 'b'}
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -85,11 +85,11 @@
         self.work = types.SimpleNamespace(
             peer_view=peerview.PeerView('me', {'r': self.replica}.get))
 
-    def status(self, boot, seq, hosts):
-        return self.work.peer_view.build_status(boot,
+    def status(self, started_at_ms, seq, known_hosts):
+        return self.work.peer_view.build_status(started_at_ms,
                                                 seq, [self.replica],
                                                 0.0,
-                                                known_hosts=hosts)
+                                                known_hosts=known_hosts)
 
 
 @pytest.fixture
@@ -106,12 +106,12 @@
     assert entry._node.work.peer_view.members.alone
 
 
-def test_a_message_lists_hosts_of_other_entries(entry):
+def test_hosts_listed_in_a_message_are_added(entry):
     hosts = ('10.0.0.9', 'no address', '127.0.0.1')
     status = membership.Status('a', 1, 1, known_hosts=hosts)
     entry._on_datagram(messages.encode(status), '10.0.0.2')
-    known = entry._node.work.peer_view.members.addresses(0.0)
-    assert set(known) == {'10.0.0.2', '10.0.0.9'}
+    addresses = entry._node.work.peer_view.members.addresses(0.0)
+    assert set(addresses) == {'10.0.0.2', '10.0.0.9'}
 
 
 def _receive_statuses(entry, count):
@@ -147,12 +147,12 @@
                                1,
                                1,
                                prompt_uses=(prompts.Use('r', parts),))
-    kept = entry._node.replica.prompt_cache
+    cache = entry._node.replica.prompt_cache
     entry._on_datagram(messages.encode(status), '10.0.0.2')
-    assert kept.cached_tokens(parts) == 900
-    kept.record_use(tuple(prompts.Part(f'q{i}', 20000) for i in range(20)))
+    assert cache.cached_tokens(parts) == 900
+    cache.record_use(tuple(prompts.Part(f'q{i}', 20000) for i in range(20)))
     entry._on_datagram(messages.encode(status), '10.0.0.2')
-    assert kept.cached_tokens(parts) == 0
+    assert cache.cached_tokens(parts) == 0
 
 
 def test_a_change_is_sent_soon_and_by_one_timer(entry):
@@ -186,7 +186,7 @@
 
 @given(
     st.lists(st.tuples(st.booleans(),
-                       st.sampled_from(['told', 'twice', 'lost', 'late'])),
+                       st.sampled_from(['ok', 'twice', 'lost', 'late'])),
              min_size=1,
              max_size=peerview.MAX_RESPONSES))
 def test_each_response_is_recorded_once(steps):
@@ -202,7 +202,7 @@
     def deliver(status):
         receiver.record_status('10.0.0.1', status, 0.0)
 
-    for seq, (ok, outcome) in enumerate([*steps, (True, 'told')], 1):
+    for seq, (ok, outcome) in enumerate([*steps, (True, 'ok')], 1):
         sender.record_response(own, ok, 0.0)
         status = sender.build_status(1, seq, [own], 0.0)
         if outcome != 'lost':
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -201,8 +201,8 @@
     for record in small:
         recent.add(record)
     assert not recent.changes_since(9, 0.5, 15).complete
-    told = recent.changes_since(12, 0.5, 15).changes
-    assert [changes.unpack(c) for c in told] == small[2:]
+    sent = recent.changes_since(12, 0.5, 15).changes
+    assert [changes.unpack(c) for c in sent] == small[2:]
     assert recent.changes_since(15, 0.5, 15).changes == ()
     noise = random.Random(1).randbytes
     recent.add(changes.Record('k10', noise(changes.MAX_SENT_BYTES + 1), 15))
@@ -225,10 +225,10 @@
     before = follower.confirmed_at, follower.offset
     good = changes.pack(changes.Record('b', b'y' * 9000, 1))
     for packed in (b'', b'no', good.packed[:-3]):
-        spoilt = good._replace(packed=packed)
+        malformed = good._replace(packed=packed)
         with pytest.raises(errors.RecordError):
             follower.apply_changes(site.loop.now,
-                                   changes.ChangeSet(0.0, 2, (spoilt,)))
+                                   changes.ChangeSet(0.0, 2, (malformed,)))
     assert (follower.confirmed_at, follower.offset) == before
 
 
@@ -247,9 +247,9 @@
 
 def test_a_negative_age_is_rejected():
     """Guards against a confirmation from the future by a faulty entry."""
-    told = messages.Told(1, {'t': changes.ChangeSet(-5.0, 3)})
+    response = messages.Told(1, {'t': changes.ChangeSet(-5.0, 3)})
     with pytest.raises(msgspec.DecodeError):
-        messages.decode(messages.encode(told))
+        messages.decode(messages.encode(response))
 
 
 def test_a_response_to_an_earlier_process_is_ignored():
--- a/tests/test_topic.py
+++ b/tests/test_topic.py
@@ -89,15 +89,15 @@
     """Guards against accepting a revoked key after a late response."""
     now = [100.0]
     monkeypatch.setattr(freshness, 'clock', lambda: now[0])
-    proof = freshness.Confirmation(4.6)
-    assert not proof.is_current()
+    confirmation = freshness.Confirmation(4.6)
+    assert not confirmation.is_current()
     sent_at = now[0]
     now[0] += 4.0
-    proof.record_read(sent_at)
-    assert proof.is_current()
+    confirmation.record_read(sent_at)
+    assert confirmation.is_current()
     now[0] += 1.0
-    assert not proof.is_current()
+    assert not confirmation.is_current()
     # The late response of an older read does not revert the confirmation.
-    proof.record_read(now[0])
-    proof.record_read(sent_at)
-    assert proof.is_current()
+    confirmation.record_read(now[0])
+    confirmation.record_read(sent_at)
+    assert confirmation.is_current()
