--- a/gorsefall/relay/crashstore.py
+++ b/gorsefall/relay/crashstore.py
@@ -108,11 +108,11 @@
             wait_s = (started_at + READ_DELAY_HEARTBEATS * heartbeat_s() -
                       self._loop.now)
             if wait_s > 0:
-                self._loop.later(wait_s, read_if_due)
+                self._loop.call_later(wait_s, read_if_due)
             elif is_reader() and not self._crashes.suspects.summary:
                 self._read('')
 
-        self._loop.later(READ_DELAY_S, read_if_due)
+        self._loop.call_later(READ_DELAY_S, read_if_due)
 
     def _read(self, after):
         self._source.read_snapshot(
@@ -122,7 +122,7 @@
     def _on_page(self, after, page, exc):
         if exc is not None:
             self._log.warning('not_read', error=str(exc))
-            self._loop.later(RETRY_PAUSE_S, lambda: self._read(after))
+            self._loop.call_later(RETRY_PAUSE_S, lambda: self._read(after))
             return
         for record in page.records:
             self._merge(record)
@@ -163,7 +163,7 @@
             self._log.warning('not_written',
                               digest=digests.shown(digest),
                               error=str(exc))
-            self._loop.later(RETRY_PAUSE_S, self._flush_next)
+            self._loop.call_later(RETRY_PAUSE_S, self._flush_next)
             return
         if self._pending.get(digest) == value:
             del self._pending[digest]
--- a/gorsefall/relay/fleet.py
+++ b/gorsefall/relay/fleet.py
@@ -65,10 +65,10 @@
                                           engine=service.engine,
                                           prompt_cache=prompts.PromptCache(
                                               service.kv_tokens))
-        cap = max(2, int(service.max_connections * CONNECTION_SHARE))
+        max_size = max(2, int(service.max_connections * CONNECTION_SHARE))
         self.pool = outbound.Pool(loop,
                                   record.addr,
-                                  cap=cap,
+                                  max_size=max_size,
                                   connect_timeout_s=CONNECT_TIMEOUT_S)
 
     def on_record_written(self, now):
@@ -265,7 +265,7 @@
         if self._store_lost:
             self._store_lost = False
             self._grace_until = now + REWRITE_GRACE_S
-            self._loop.later(REWRITE_GRACE_S, self._drop_lapsed)
+            self._loop.call_later(REWRITE_GRACE_S, self._drop_lapsed)
 
     def _drop_lapsed(self):
         if self._store_lost:
@@ -304,7 +304,7 @@
             r for r in self.of_service(service)
             if r.record.id not in exclude and not r.record_malformed and
             r.record.status is model.ReplicaStatus.READY and
-            not r.pool.full() and r.limit.allows(now, urgent=urgent)
+            not r.pool.is_full() and r.limit.allows(now, urgent=urgent)
         ]
         return [r for r in live if not r.record_lapsed and r.exited_at is None
                ] or live
--- a/gorsefall/relay/peers.py
+++ b/gorsefall/relay/peers.py
@@ -112,7 +112,7 @@
             self._timer.cancel()
         self._due_at = when
         delay_s = max(0.0, when - time.monotonic())
-        self._timer = self._loop.later(delay_s, self._send_status)
+        self._timer = self._loop.call_later(delay_s, self._send_status)
 
     def _send_status(self):
         now = time.monotonic()
@@ -162,7 +162,7 @@
 
     def _add_hosts(self, hosts, now):
         for host in hosts:
-            if host != self._host and datagrams.is_host(host):
+            if host != self._host and datagrams.is_ipv4_address(host):
                 self._view.members.add_address(host, now)
 
     def _on_datagram(self, data, host):
--- a/gorsefall/relay/prober.py
+++ b/gorsefall/relay/prober.py
@@ -20,8 +20,8 @@
     def __init__(self, loop, addr, timeout_s, done):
         self._done = done
         self._conn = tcp.Connection(loop, self)
-        self._timer = loop.later(timeout_s,
-                                 lambda: self._finish(Verdict.UNKNOWN))
+        self._timer = loop.call_later(timeout_s,
+                                      lambda: self._finish(Verdict.UNKNOWN))
         self._conn.connect(addr)
 
     def on_connected(self):
@@ -33,7 +33,8 @@
         del reason
         # Only a refusal comes from the VM itself and shows that no process
         # listens there. A network partition shows as a timeout.
-        self._finish(Verdict.EXITED if self._conn.refused else Verdict.UNKNOWN)
+        self._finish(
+            Verdict.EXITED if self._conn.was_refused else Verdict.UNKNOWN)
 
     def on_drained(self):
         """See ``tcp.Connection``."""
--- a/gorsefall/relay/replicalimits.py
+++ b/gorsefall/relay/replicalimits.py
@@ -37,7 +37,7 @@
 
     def start(self):
         """Updates this entry's shares now and periodically."""
-        self._loop.later(SHARE_UPDATE_PERIOD_S, self.start)
+        self._loop.call_later(SHARE_UPDATE_PERIOD_S, self.start)
         self._limited = {
             name: replica
             for name, replica in self._limited.items()
--- a/gorsefall/relay/sharing.py
+++ b/gorsefall/relay/sharing.py
@@ -136,8 +136,9 @@
 
     def start(self):
         """Begins to query after other entries had time to send a message."""
-        self._loop.later(self._query_pause_s * self._rng.uniform(*PAUSE_JITTER),
-                         self._run_round)
+        self._loop.call_later(
+            self._query_pause_s * self._rng.uniform(*PAUSE_JITTER),
+            self._run_round)
 
     def set_followers(self, topics, store, query_pause_s):
         """Sets the followers of a store.
@@ -162,8 +163,9 @@
     # -- whether to read -------------------------------------------------------
 
     def _run_round(self):
-        self._loop.later(self._query_pause_s * self._rng.uniform(*PAUSE_JITTER),
-                         self._run_round)
+        self._loop.call_later(
+            self._query_pause_s * self._rng.uniform(*PAUSE_JITTER),
+            self._run_round)
         others = readers.with_store_access(self._others())
         # If no entry reaches the store, the entries that would be readers
         # keep trying.
@@ -228,8 +230,8 @@
             return
         query_id = self._rng.getrandbits(63)
         self._open_query = _Query(query_id, freshness.clock(), tuple(hosts))
-        self._loop.later(RESPONSE_TIMEOUT_S,
-                         functools.partial(self._on_timeout, query_id))
+        self._loop.call_later(RESPONSE_TIMEOUT_S,
+                              functools.partial(self._on_timeout, query_id))
         unreachable = any(
             t.follower.failed_reads for t in self._topics.values())
         self._send(messages.Ask(query_id, self._store, offsets, unreachable),
@@ -258,8 +260,8 @@
         self._own_read_due = True
         within_s = (FALLBACK_SPREAD_S
                     if self._response_missing else OUTAGE_SPREAD_S)
-        self._loop.later(self._rng.uniform(0.0, within_s),
-                         self._read_stale_topics)
+        self._loop.call_later(self._rng.uniform(0.0, within_s),
+                              self._read_stale_topics)
 
     def _read_stale_topics(self):
         if self.is_reader or not self._no_current_response:
@@ -272,8 +274,8 @@
                 followed.follower.read_once()
         pause_s = (self._query_pause_s
                    if self.reaches_store() else OUTAGE_READ_PAUSE_S)
-        self._loop.later(pause_s * self._rng.uniform(*PAUSE_JITTER),
-                         self._allow_own_read)
+        self._loop.call_later(pause_s * self._rng.uniform(*PAUSE_JITTER),
+                              self._allow_own_read)
 
     def _allow_own_read(self):
         self._own_read_due = False
@@ -352,8 +354,9 @@
             for name, end in message.end_offsets.items())
         if missed and not self._hinted:
             self._hinted = True
-            self._loop.later(self._rng.uniform(0.0, HINT_SPREAD_S),
-                             functools.partial(self._query_after_hint, host))
+            self._loop.call_later(
+                self._rng.uniform(0.0, HINT_SPREAD_S),
+                functools.partial(self._query_after_hint, host))
 
     def _query_after_hint(self, host):
         self._hinted = False
--- a/gorsefall/relay/topic.py
+++ b/gorsefall/relay/topic.py
@@ -359,8 +359,9 @@
         if not self._continuous:
             self._idle = True
         elif self.pace.pause_s:
-            self._loop.later(self.pace.pause_s,
-                             functools.partial(self._resume, self._read_number))
+            self._loop.call_later(
+                self.pace.pause_s,
+                functools.partial(self._resume, self._read_number))
         else:
             self._read()
 
@@ -419,7 +420,7 @@
         pause = min(MAX_RETRY_PAUSE_S,
                     random.uniform(*RETRY_PAUSE_RANGE_S) * self._failures)
         number = self._read_number
-        self._loop.later(
+        self._loop.call_later(
             pause, lambda: retry() if number == self._read_number else None)
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -57,7 +57,7 @@
 class _Timer:
 
     def __init__(self, delay_s):
-        self.due = time.monotonic() + delay_s
+        self.due_at = time.monotonic() + delay_s
 
     def cancel(self):
         pass
@@ -66,13 +66,13 @@
 class _Loop:
     """Timers that never fire."""
 
-    def later(self, delay_s, callback):
+    def call_later(self, delay_s, callback):
         return _Timer(delay_s)
 
     def watch(self, sock, handler, *, read, write):
         pass
 
-    def forget(self, sock):
+    def unwatch(self, sock):
         pass
 
 
@@ -165,7 +165,7 @@
     heartbeat = entry._timer
     entry.schedule_status()
     earliest = entry._timer
-    assert earliest.due < heartbeat.due
+    assert earliest.due_at < heartbeat.due_at
     entry.schedule_status()
     assert entry._timer is earliest
 
