--- a/gorsefall/emulator/entries.py
+++ b/gorsefall/emulator/entries.py
@@ -43,7 +43,7 @@
         return self.view.build_status(0, self._seq, self.targets.values(),
                                       now_ms / 1000)
 
-    def hear(self, status, now_ms):
+    def receive_status(self, status, now_ms):
         """Takes in what another entry tells."""
         self.view.record_status(status.name, status, now_ms / 1000)
 
@@ -54,8 +54,9 @@
         self._asked += 1
         self.service.unreported.arrivals = self._others(now)
         return policy(
-            policies.Ask(list(self.targets.values()), _want(req, limit_ms),
-                         self.service, now, rng))
+            policies.PlacementRequest(list(self.targets.values()),
+                                      _want(req, limit_ms), self.service, now,
+                                      rng))
 
     def _others(self, now):
         """Returns the ``unseen.Arrivals`` of the other entries."""
@@ -63,15 +64,15 @@
         return unreported.Arrivals(per_s=others * self._asked / max(1.0, now),
                                    age_s=self._site.exchange_ms / 2000)
 
-    def sent(self, req, choice, now_ms):
+    def record_sent(self, req, choice, now_ms):
         """Notes that ``req`` went out."""
         req.target, req.choice, req.sent_ms = choice.target, choice, now_ms
-        req.heard_ms = now_ms
+        req.last_contact_ms = now_ms
         self.view.record_prompt(req.target, _want(req).parts, now_ms / 1000)
         req.target.record_sent(choice.prefill_tokens,
                                decode_heavy=_want(req).decode_heavy)
 
-    def began(self, req, now_ms):
+    def record_first_event(self, req, now_ms):
         """Notes the first event of ``req``."""
         req.target.record_prefilled(req.choice.prefill_tokens)
         self.service.speed.record_start(
@@ -79,12 +80,12 @@
             req.choice.prefill_tokens_ahead + req.choice.prefill_tokens,
             req.choice.slowness)
 
-    def ended(self, req, now_ms):
+    def record_end(self, req, now_ms):
         """Notes that ``req`` is no longer at its engine."""
-        if not req.written:
+        if not req.decoded:
             req.target.record_prefilled(req.choice.prefill_tokens)
         req.target.record_end(decode_heavy=_want(req).decode_heavy)
-        if req.written >= req.tokens_out:
+        if req.decoded >= req.tokens_out:
             self.service.speed.residence.record(now_ms - req.sent_ms)
 
 
--- a/gorsefall/relay/crashes.py
+++ b/gorsefall/relay/crashes.py
@@ -102,9 +102,9 @@
 
     def _check(self, digest):
         if self.suspects.is_blocked(digest, self._clock()):
-            metrics.CRASHING.labels('refused').inc()
+            metrics.CRASHING_REQUESTS.labels('refused').inc()
             crashes = self.suspects.crashes(digest)
-            raise errors.CrashesReplicasError(
+            raise errors.PoisonRequestError(
                 f'{len(crashes)} replicas crashed while running this request: '
                 f'{", ".join(c.replica for c in crashes)}')
 
@@ -113,11 +113,11 @@
 
         A request that must be serialized runs at one replica at a time, as
         concurrent runs could crash several replicas before the first crash is
-        detected. The other exchanges are parked; their ``go_on`` is called
+        detected. The other exchanges are parked; their ``dispatch`` is called
         when that run is over.
 
         Raises:
-            errors.CrashesReplicasError: It is a poison request.
+            errors.PoisonRequestError: It is a poison request.
         """
         self._check(digest)
         if not self.suspects.must_serialize(digest):
@@ -125,7 +125,7 @@
         owner = self._running.setdefault(digest, exchange)
         if owner is exchange:
             return True
-        metrics.CRASHING.labels('parked').inc()
+        metrics.CRASHING_REQUESTS.labels('parked').inc()
         self._parked[digest].append(exchange)
         return False
 
@@ -134,7 +134,7 @@
         if self._running.get(digest) is exchange:
             del self._running[digest]
             for waiting in self._parked.pop(digest, ()):
-                self._loop.call_later(0, waiting.go_on)
+                self._loop.call_later(0, waiting.dispatch)
 
     # -- crashes observed here -------------------------------------------------
 
@@ -180,9 +180,9 @@
         if not self.suspects.record_crash(digest, crash, weight, now):
             return
         blocked = self.suspects.is_blocked(digest, now)
-        metrics.CRASHING.labels('seen').inc()
+        metrics.CRASHING_REQUESTS.labels('seen').inc()
         self._log.info('crash_under_request',
-                       digest=digests.shown(digest),
+                       digest=digests.abbreviate(digest),
                        replica=record.id,
                        weight=int(weight),
                        total=self.suspects.weight(digest),
@@ -195,10 +195,10 @@
             self.on_poison_request(digest)
 
     def _log_poison_request(self, digest):
-        metrics.CRASHING.labels('blamed').inc()
+        metrics.CRASHING_REQUESTS.labels('blamed').inc()
         self._log.warning(
             'request_blamed',
-            digest=digests.shown(digest),
+            digest=digests.abbreviate(digest),
             replicas=[c.replica for c in self.suspects.crashes(digest)],
             suspects=len(self.suspects))
 
@@ -209,8 +209,8 @@
         now = self._clock()
         was_poison = digest in self.suspects.poison_requests
         if self.suspects.record_completion(digest, now):
-            metrics.CRASHING.labels('cleared').inc()
-            self._log.info('request_cleared', digest=digests.shown(digest))
+            metrics.CRASHING_REQUESTS.labels('cleared').inc()
+            self._log.info('request_cleared', digest=digests.abbreviate(digest))
             self._reported.append((now, digest, None))
             if was_poison:
                 self.on_cleared(digest)
--- a/gorsefall/relay/crashstore.py
+++ b/gorsefall/relay/crashstore.py
@@ -161,7 +161,7 @@
             # The store may have written the record all the same; writing it
             # again does no harm.
             self._log.warning('not_written',
-                              digest=digests.shown(digest),
+                              digest=digests.abbreviate(digest),
                               error=str(exc))
             self._loop.call_later(RETRY_PAUSE_S, self._flush_next)
             return
--- a/gorsefall/relay/sharing.py
+++ b/gorsefall/relay/sharing.py
@@ -240,7 +240,7 @@
     def _on_timeout(self, query_id):
         if self._open_query is None or self._open_query.query_id != query_id:
             return
-        metrics.READS_ASKED.labels('unanswered').inc()
+        metrics.PEER_READS.labels('unanswered').inc()
         self._response_missing = True
         host, *rest = self._open_query.hosts
         self._choice.record_no_response(host, self._loop.now)
@@ -267,7 +267,7 @@
         if self.is_reader or not self._no_current_response:
             self._own_read_due = False
             return
-        metrics.READS_ASKED.labels('read').inc()
+        metrics.PEER_READS.labels('read').inc()
         self.source_host = None
         for followed in self._topics.values():
             if followed.follower.age_s() > self._query_pause_s:
@@ -320,7 +320,7 @@
             name for name, followed in self._topics.items()
             if not self._apply(followed, query, message.topic_changes.get(name))
         ]
-        metrics.READS_ASKED.labels('stale' if stale else 'told').inc()
+        metrics.PEER_READS.labels('stale' if stale else 'told').inc()
         if stale:
             self._query(query.hosts[1:])
             return
