--- a/gorsefall/relay/crashes.py
+++ b/gorsefall/relay/crashes.py
@@ -81,10 +81,10 @@
         self._fleet = fleet
         self._clock = clock
         self._peers = None
-        self._reported = collections.deque(maxlen=MAX_REPORTS)
+        self._events = collections.deque(maxlen=MAX_REPORTS)
         self._queried_at = float('-inf')
-        self._running = {}
-        self._parked = collections.defaultdict(list)
+        self._running_exchanges = {}
+        self._parked_exchanges = collections.defaultdict(list)
         self._log = logs.get('crashes')
         self.suspects = suspects.Suspects()
         self.on_poison_request = self.on_cleared = lambda digest: None
@@ -122,41 +122,41 @@
         self._check(digest)
         if not self.suspects.must_serialize(digest):
             return True
-        owner = self._running.setdefault(digest, exchange)
+        owner = self._running_exchanges.setdefault(digest, exchange)
         if owner is exchange:
             return True
         metrics.CRASHING_REQUESTS.labels('parked').inc()
-        self._parked[digest].append(exchange)
+        self._parked_exchanges[digest].append(exchange)
         return False
 
     def end_run(self, digest, exchange):
         """Records that an exchange is over."""
-        if self._running.get(digest) is exchange:
-            del self._running[digest]
-            for waiting in self._parked.pop(digest, ()):
+        if self._running_exchanges.get(digest) is exchange:
+            del self._running_exchanges[digest]
+            for waiting in self._parked_exchanges.pop(digest, ()):
                 self._loop.call_later(0, waiting.dispatch)
 
     # -- crashes observed here -------------------------------------------------
 
-    def handle_broken_run(self, replica, run, go_on):
+    def handle_broken_run(self, replica, run, on_result):
         """Determines whether a ``fleet.Replica`` crashed under a ``BrokenRun``.
 
-        If the request is already a suspect, ``go_on`` is called only after the
-        result is known: another attempt of a request that crashes replicas
-        would crash the next one.
+        If the request is already a suspect, ``on_result`` is called only after
+        the probe: another attempt of a request that crashes replicas would
+        crash the next one.
 
         Args:
             replica: The replica whose connection broke.
             run: The ``BrokenRun``.
-            go_on: Called when the exchange may decide about the request.
+            on_result: Called when the exchange may decide about the request.
         """
         waits = self.suspects.weight(run.digest) and self._expected_up(replica)
         if self._expected_up(replica):
-            done = go_on if waits else lambda: None
+            done = on_result if waits else lambda: None
             self._prober.probe(
                 replica, functools.partial(self._on_probed, replica, run, done))
         if not waits:
-            go_on()
+            on_result()
 
     def _expected_up(self, replica):
         """Returns whether the replica's exit would be a crash."""
@@ -187,7 +187,7 @@
                        weight=int(weight),
                        total=self.suspects.weight(digest),
                        blocked=blocked)
-        self._reported.append((now, digest, crash))
+        self._events.append((now, digest, crash))
         if self.suspects.must_serialize(digest):
             self._send_to_all(digest)
         if blocked and not before:
@@ -211,7 +211,7 @@
         if self.suspects.record_completion(digest, now):
             metrics.CRASHING_REQUESTS.labels('cleared').inc()
             self._log.info('request_cleared', digest=digests.abbreviate(digest))
-            self._reported.append((now, digest, None))
+            self._events.append((now, digest, None))
             if was_poison:
                 self.on_cleared(digest)
 
@@ -219,10 +219,10 @@
 
     def recent_reports(self, now):
         """Returns the ``membership.RunReport`` objects for a status message."""
-        while self._reported and self._reported[0][0] < now - REPORT_WINDOW_S:
-            self._reported.popleft()
+        while self._events and self._events[0][0] < now - REPORT_WINDOW_S:
+            self._events.popleft()
         return tuple(
-            report for _, digest, crash in self._reported
+            report for _, digest, crash in self._events
             if (report := self._report(digest, crash, now)) is not None)
 
     def _report(self, digest, crash, now):
@@ -288,9 +288,7 @@
                     suspects.CrashWeight(report.weight), at)
             else:
                 self.suspects.record_completion(report.digest, at)
-        own = {
-            digest for _, digest, crash in self._reported if crash is not None
-        }
+        own = {digest for _, digest, crash in self._events if crash is not None}
         for digest in set(self.suspects.poison_requests) - before:
             self._log_poison_request(digest)
             if digest in own:
--- a/gorsefall/relay/fleet.py
+++ b/gorsefall/relay/fleet.py
@@ -119,8 +119,8 @@
         self._loop = loop
         self._on_change = on_change
         self._records = {}
-        self._replaced = set()
-        self._exited = {}
+        self._replaced_ids = set()
+        self._exited_replicas = {}
         self._services = {}
         self._store_lost = False
         self._grace_until = float('-inf')
@@ -162,7 +162,7 @@
         connections break, with unknown outcome as after any crash; runs sent
         to the new one before its record arrived continue.
         """
-        self._replaced.discard(replica_id)
+        self._replaced_ids.discard(replica_id)
         if replica_id in self.replicas:
             self._drop(replica_id, 'a new incarnation started')
 
@@ -173,7 +173,7 @@
             rep.record_lapsed = rep.record_malformed = False
             rep.on_record_written(time.monotonic())
         elif (record.service in self._services and
-              record.id not in self._replaced):
+              record.id not in self._replaced_ids):
             self.replicas[record.id] = Replica(self._loop, record,
                                                self._services[record.service],
                                                self._on_change)
@@ -188,7 +188,7 @@
         """
         rep = self.replicas.get(replica_id)
         self._records.pop(replica_id, None)
-        self._replaced.discard(replica_id)
+        self._replaced_ids.discard(replica_id)
         if rep is None:
             return
         if self._store_lost or now < self._grace_until:
@@ -206,21 +206,22 @@
         """
         if replica.exited_at is None:
             replica.exited_at = at
-            self._exited[replica.record.id] = replica
+            self._exited_replicas[replica.record.id] = replica
             self._log.info('replica_ended', replica=replica.record.id)
 
     def recent_exits(self, now):
         """Returns the ``membership.ReplicaExit`` objects for a status."""
-        self._exited = {
+        self._exited_replicas = {
             name: rep
-            for name, rep in self._exited.items()
+            for name, rep in self._exited_replicas.items()
             if rep.exited_at is not None and now -
             rep.exited_at < EXIT_REPORT_WINDOW_S
         }
         return tuple(
             membership.ReplicaExit(name, rep.record.started_at_ms,
                                    max(0, int((now - rep.exited_at) * 1000)))
-            for name, rep in list(self._exited.items())[:MAX_EXIT_REPORTS])
+            for name, rep in list(self._exited_replicas.items())
+            [:MAX_EXIT_REPORTS])
 
     def handle_status(self, status, now):
         """Handles the ``membership.Status`` of another entry."""
@@ -237,7 +238,7 @@
         that address in this time would all be refused, for three seconds after
         a replica was restarted in place.
         """
-        self._replaced.add(replica_id)
+        self._replaced_ids.add(replica_id)
         if replica_id in self.replicas:
             self._drop(replica_id, 'another replica has its address')
 
--- a/gorsefall/relay/prober.py
+++ b/gorsefall/relay/prober.py
@@ -64,25 +64,25 @@
             loop: The ``reactor.Reactor``.
         """
         self._loop = loop
-        self._waiting = {}
+        self._callbacks = {}
         self._log = logs.get('ends')
 
     def probe(self, replica, done):
         """Calls ``done(verdict)`` with the state of a ``fleet.Replica``."""
-        waiting = self._waiting.get(replica)
-        if waiting is not None:
-            waiting.append(done)
+        callbacks = self._callbacks.get(replica)
+        if callbacks is not None:
+            callbacks.append(done)
             return
-        self._waiting[replica] = [done]
+        self._callbacks[replica] = [done]
         _Probe(self._loop, replica.record.addr, fleet.CONNECT_TIMEOUT_S,
                lambda verdict: self._on_verdict(replica, verdict))
 
     def _on_verdict(self, replica, verdict):
-        waiting = self._waiting.pop(replica)
+        callbacks = self._callbacks.pop(replica)
         self._log.info('replica_looked_after',
                        replica=replica.record.id,
                        status=replica.record.status.value,
                        verdict=verdict.value,
-                       runs=len(waiting))
-        for done in waiting:
+                       runs=len(callbacks))
+        for done in callbacks:
             done(verdict)
--- a/gorsefall/relay/replicalimits.py
+++ b/gorsefall/relay/replicalimits.py
@@ -32,18 +32,18 @@
         self._loop = loop
         self._fleet = fleet
         self._members = members
-        self._limited = {}
+        self._limited_replicas = {}
         self._log = logs.get('announcing')
 
     def start(self):
         """Updates this entry's shares now and periodically."""
         self._loop.call_later(SHARE_UPDATE_PERIOD_S, self.start)
-        self._limited = {
+        self._limited_replicas = {
             name: replica
-            for name, replica in self._limited.items()
+            for name, replica in self._limited_replicas.items()
             if self._fleet.replicas.get(name) is replica
         }
-        for replica in self._limited.values():
+        for replica in self._limited_replicas.values():
             self._update_share(replica)
 
     def _update_share(self, replica):
@@ -72,7 +72,7 @@
         before = replica.limit.per_s
         if not replica.limit.update(per_s, at):
             return
-        self._limited[replica.record.id] = replica
+        self._limited_replicas[replica.record.id] = replica
         self._update_share(replica)
         self._log.info('limit_announced',
                        replica=replica.record.id,
@@ -87,7 +87,7 @@
                 name, replica.record.started_at_ms,
                 int((now - replica.limit.announced_at) *
                     1000), replica.limit.per_s)
-            for name, replica in self._limited.items()
+            for name, replica in self._limited_replicas.items()
             if now - replica.limit.announced_at < REPORT_WINDOW_S)
 
     def handle_status(self, status):
--- a/gorsefall/relay/sharing.py
+++ b/gorsefall/relay/sharing.py
@@ -124,9 +124,9 @@
         self._store = ''
         self._query_pause_s = 0.0
         self._open_query = None
-        self._queried_at = {}
+        self._query_times = {}
         self._no_current_response = False
-        self._hinted = False
+        self._hint_pending = False
         self._response_missing = False
         self._own_read_due = False
         self._probed_at = float('-inf')
@@ -188,7 +188,7 @@
     def _recent_queriers(self, for_s):
         """Returns the hosts that sent a query within ``for_s``, a list."""
         since = self._loop.now - for_s
-        return [h for h, at in self._queried_at.items() if at > since]
+        return [h for h, at in self._query_times.items() if at > since]
 
     def _set_reader(self, is_reader):
         if is_reader != self.is_reader:
@@ -352,24 +352,24 @@
         missed = any(
             name in self._topics and end > self._topics[name].follower.offset
             for name, end in message.end_offsets.items())
-        if missed and not self._hinted:
-            self._hinted = True
+        if missed and not self._hint_pending:
+            self._hint_pending = True
             self._loop.call_later(
                 self._rng.uniform(0.0, HINT_SPREAD_S),
                 functools.partial(self._query_after_hint, host))
 
     def _query_after_hint(self, host):
-        self._hinted = False
+        self._hint_pending = False
         hosts = self._choice.query_order(
             readers.with_store_access(self._others()), self._loop.now)
         self._query([host, *(h for h in hosts if h != host)])
 
     def _record_querier(self, host):
-        if len(self._queried_at) >= membership.MAX_MEMBERS:
+        if len(self._query_times) >= membership.MAX_MEMBERS:
             recent = self._recent_queriers(HINT_WINDOW_S)
-            self._queried_at = {h: self._queried_at[h] for h in recent}
-        if len(self._queried_at) < membership.MAX_MEMBERS:
-            self._queried_at[host] = self._loop.now
+            self._query_times = {h: self._query_times[h] for h in recent}
+        if len(self._query_times) < membership.MAX_MEMBERS:
+            self._query_times[host] = self._loop.now
 
     def send_hints(self):
         """Sends entries that queried recently a hint that topics changed."""
@@ -379,6 +379,6 @@
         hint = messages.Hint(self._store, {
             name: t.follower.offset for name, t in self._topics.items()
         })
-        for host, at in self._queried_at.items():
+        for host, at in self._query_times.items():
             if at > since:
                 self._send(hint, host)
--- a/gorsefall/relay/topiclisteners.py
+++ b/gorsefall/relay/topiclisteners.py
@@ -50,13 +50,15 @@
     def __init__(self, node, records):
         self._node = node
         self._records = records
-        self._observed = {}
+        self._observed_states = {}
         self._malformed = topic.MalformedRecords(logs.get('replicas'))
 
     def on_snapshot(self, records):
         """See ``topic.Listener``."""
         names = {r.key for r in records}
-        self._observed = {k: v for k, v in self._observed.items() if k in names}
+        self._observed_states = {
+            k: v for k, v in self._observed_states.items() if k in names
+        }
         self._node.fleet.keep_only(names, self._node.loop.now)
         for record in records:
             self.on_record(record)
@@ -67,7 +69,7 @@
         if record.well_formed and not record.value:
             self._malformed.record_valid(record.key)
             self._node.fleet.remove(record.key, self._node.loop.now)
-            return self._observed.pop(record.key, None) is not None
+            return self._observed_states.pop(record.key, None) is not None
         try:
             decoded = self._records.decode_replica(record)
         except errors.RecordError as exc:
@@ -80,9 +82,9 @@
 
     def _observe(self, key, state):
         """Stores the observed state of a key; returns whether it changed."""
-        if self._observed.get(key) == state:
+        if self._observed_states.get(key) == state:
             return False
-        self._observed[key] = state
+        self._observed_states[key] = state
         return True
 
     def on_store_lost(self):
