--- a/gorsefall/net/__init__.py
+++ b/gorsefall/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, timers and HTTP that both wires share."""
+"""Sockets, timers and HTTP clients used by the entry and the relay."""
--- a/gorsefall/net/datagrams.py
+++ b/gorsefall/net/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams to and from other processes, without blocking."""
+"""Non-blocking UDP datagrams to and from other processes."""
 
 import ipaddress
 import socket
@@ -8,18 +8,18 @@
 from gorsefall.net import reactor
 
 MAX_DATAGRAM_BYTES = 65536
-"""Longest datagram."""
+"""Receive buffer for one datagram; UDP allows no longer ones."""
 
 MAX_DATAGRAMS_PER_PASS = 64
-"""Datagrams read before other sockets get their turn: one who floods this
-socket must not stop requests."""
+"""Datagrams read before other sockets are served, so that a flood of datagrams
+does not block requests."""
 
 
 class Endpoint(reactor.Handler):
     """A bound UDP socket.
 
     Attributes:
-        on_datagram: Called with ``(data, host)`` of each datagram.
+        on_datagram: Called with ``(data, host)`` for each datagram.
         bytes_in: Bytes received.
         bytes_out: Bytes sent.
 
@@ -30,7 +30,7 @@
     def __init__(self, loop, addr, on_datagram):
         self._loop = loop
         self._log = logs.get('datagrams')
-        self._refused = False
+        self._dropping = False
         self.on_datagram = on_datagram
         self.bytes_in = self.bytes_out = 0
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -43,17 +43,18 @@
         loop.watch(self._sock, self, read=True, write=False)
 
     def send(self, data, addr):
-        """Sends a datagram, or drops it where the link has no room."""
+        """Sends a datagram, or drops it if the kernel does not accept it."""
         try:
             self._sock.sendto(data, addr)
         except OSError as exc:
-            # Nothing waits for a datagram, and the next one tells the same
-            # and more. Logged once, as a link that is full stays so a while.
-            if not self._refused:
-                self._refused = True
+            # No caller waits for a datagram, and the next one repeats its
+            # content. Only the first of consecutive drops is logged, as a full
+            # link drops many in a row.
+            if not self._dropping:
+                self._dropping = True
                 self._log.warning('datagram_dropped', error=exc.strerror)
             return
-        self._refused = False
+        self._dropping = False
         self.bytes_out += len(data)
 
     def on_readable(self):
@@ -62,13 +63,14 @@
             try:
                 data, (host, _) = self._sock.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError:
-                # Nothing is left, or an earlier datagram met a closed port.
+                # No datagram is queued, or an earlier one was sent to a closed
+                # port.
                 return
             self.bytes_in += len(data)
             self.on_datagram(data, host)
 
     def on_writable(self):
-        """Endpoints are never watched for writing."""
+        """Never called: endpoints are not watched for writing."""
 
     def close(self):
         """Stops receiving."""
--- a/gorsefall/net/headers.py
+++ b/gorsefall/net/headers.py
@@ -1,4 +1,4 @@
-"""Header fields as they were received."""
+"""HTTP header fields, in order and by name."""
 
 import typing
 
@@ -8,7 +8,7 @@
 
     Attributes:
         items: ``(name, value)`` bytes; names keep their case.
-        by_name: Lowercase name -> its first value.
+        by_name: Lowercase name -> the first value of that name.
     """
     items: list[tuple[bytes, bytes]]
     by_name: dict[bytes, bytes]
@@ -17,7 +17,7 @@
 def from_items(items):
     """Returns the ``Headers`` of an iterable of ``(name, value)`` bytes."""
     items = list(items)
-    first = {}
+    by_name = {}
     for name, value in items:
-        first.setdefault(name.lower(), value)
-    return Headers(items, first)
+        by_name.setdefault(name.lower(), value)
+    return Headers(items, by_name)
--- a/gorsefall/net/idletimer.py
+++ b/gorsefall/net/idletimer.py
@@ -1,43 +1,43 @@
-"""Notices a peer that has stopped sending."""
+"""Detects a peer that has stopped sending."""
 
 
 class IdleTimer:
-    """Calls back once when nothing was heard from a peer for a while.
+    """Calls back once when nothing was received from a peer for some time.
 
-    The time counts from the last byte, not from the start of a call. A
-    connection that something between the ends has lost track of shows no
-    error of its own, only silence; an answer that is long, or comes over a
-    slow link, is not silent. Bounded in all, it would be cut off each time
-    and asked for again for ever.
+    If a device on the path has dropped the state of a connection, the
+    connection shows no error, only missing data. The time counts from the last
+    byte, not from the start of the call: a limit on the total time would
+    abort a long response, or one over a slow link, on every retry.
     """
 
-    def __init__(self, loop, idle_s, on_silent, *, first_s=0.0):
-        """Starts watching.
+    def __init__(self, loop, timeout_s, on_timeout, *, first_byte_extra_s=0.0):
+        """Starts the timer.
 
         Args:
             loop: The ``reactor.Reactor``.
-            idle_s: Longest silence, s.
-            on_silent: Called when it is over.
-            first_s: How much longer the first byte may take, s.
+            timeout_s: Longest time without a byte, s.
+            on_timeout: Called once when that time has passed.
+            first_byte_extra_s: Additional time for the first byte, s.
         """
         self._loop = loop
-        self._idle_s = idle_s
-        self._on_silent = on_silent
-        self._heard_at = loop.now + first_s
-        self._timer = loop.call_later(first_s + idle_s, self._check)
+        self._timeout_s = timeout_s
+        self._on_timeout = on_timeout
+        self._last_activity_at = loop.now + first_byte_extra_s
+        self._timer = loop.call_later(first_byte_extra_s + timeout_s,
+                                      self._check)
 
     def reset(self):
-        """Notes that something came."""
-        self._heard_at = self._loop.now
+        """Restarts the idle time; called whenever bytes arrive."""
+        self._last_activity_at = self._loop.now
 
     def cancel(self):
-        """Ends the watch."""
+        """Cancels the timer."""
         self._timer.cancel()
 
     def _check(self):
-        silent_s = self._loop.now - self._heard_at
-        if silent_s < self._idle_s:
-            self._timer = self._loop.call_later(self._idle_s - silent_s,
+        idle_for_s = self._loop.now - self._last_activity_at
+        if idle_for_s < self._timeout_s:
+            self._timer = self._loop.call_later(self._timeout_s - idle_for_s,
                                                 self._check)
             return
-        self._on_silent()
+        self._on_timeout()
--- a/gorsefall/net/links.py
+++ b/gorsefall/net/links.py
@@ -1,4 +1,4 @@
-"""Links to other processes: HTTP calls with JSON, one channel a call."""
+"""HTTP calls with JSON to other processes, one connection per call."""
 
 import msgspec
 from circuits import core
@@ -9,31 +9,31 @@
 from gorsefall.net import idletimer
 
 CONNECT_TIMEOUT_S = 1.0
-"""Longest time to connect, s; within a zone it takes under a ms, and a lost
-first packet is sent again after a second."""
+"""Longest time to connect, s. Within a zone it takes less than 1 ms; a lost SYN
+is retransmitted after 1 s."""
 
 MAX_CONNECTIONS = 10_000
-"""Channels to one peer, at most; admission bounds them long before."""
+"""Limit of connections to one peer; admission keeps their number far lower."""
 
-_FRAMED = (b'content-length', b'transfer-encoding')
+_DELIMITING_FIELDS = (b'content-length', b'transfer-encoding')
 
 
 class Call(outbound.Call):
-    """One HTTP/1.1 request to another process, read incrementally.
+    """One HTTP/1.1 request whose response is read incrementally.
 
-    It tells its owner what happened through three callbacks, each called at
-    most as documented, never before ``call`` has returned:
+    Three callbacks report the response to the caller, none of them before
+    ``call`` has returned:
 
-    * ``on_head(status)`` once, when the head has arrived;
-    * ``on_data(data)`` for every piece of body (bytes, de-chunked);
-    * ``on_end(exc)`` once, with ``None`` on a whole reply, else a
-      ``errors.LinkError``.
+    * ``on_head(status)`` once, when the response head has arrived;
+    * ``on_data(data)`` for each piece of the body (bytes, de-chunked);
+    * ``on_end(exc)`` once, with ``None`` after a complete response, otherwise
+      with an ``errors.LinkError``.
 
     Attributes:
         addr: ``(host, port)`` of the peer.
-        sent: True once request bytes were handed to the kernel; after that
+        sent: True once request bytes were handed to the kernel; from then on
             the peer may have acted on them.
-        status: HTTP status of the reply, or None.
+        status: HTTP status of the response, or None.
     """
 
     def __init__(self, loop, addr, method, path, body, *, on_head, on_data,
@@ -55,78 +55,82 @@
         self._on_data = on_data
         self._on_end = on_end
         self._idle_s = idle_s
-        self._framed = False
-        self._channel = None
-        self._watch = idletimer.IdleTimer(loop, idle_s, self._silent)
+        self._is_delimited = False
+        self._conn = None
+        self._idle_timer = idletimer.IdleTimer(loop, idle_s,
+                                               self._on_idle_timeout)
 
     def begin(self, pool):
-        """Sends the request on a channel of ``pool``."""
-        self._channel = pool.send(self)
+        """Sends the request on a connection of ``pool``."""
+        self._conn = pool.send(self)
 
     def cancel(self):
-        """Closes the channel; no callback is called after this."""
+        """Closes the connection; no callback follows."""
         self._on_head = self._on_data = self._on_end = None
-        self._give_up()
+        self._abort()
 
     def on_head(self, status, fields):
         """See ``outbound.Call``."""
-        self._watch.reset()
+        self._idle_timer.reset()
         self.sent = True
         self.status = status
-        self._framed = any(name in fields.by_name for name in _FRAMED)
+        self._is_delimited = any(
+            name in fields.by_name for name in _DELIMITING_FIELDS)
         if self._on_head:
             self._on_head(status)
 
     def on_data(self, data):
         """See ``outbound.Call``."""
-        self._watch.reset()
+        self._idle_timer.reset()
         if self._on_data:
             self._on_data(data)
 
     def on_end(self):
         """See ``outbound.Call``."""
-        # Our peers frame every reply by length or in chunks; one that ends
-        # with its connection was cut. Taking it for whole once gave callers
-        # a 200 with half a body.
-        self._end(None if self._framed else 'closed before its reply ended')
+        # The peers delimit every response by a length or by chunks. A response
+        # that ends with its connection was truncated; if it were accepted, a
+        # caller would get a 200 with half a body.
+        self._finish(
+            None if self._is_delimited else 'connection closed before the '
+            'response was complete')
 
     def on_fail(self, failure):
         """See ``outbound.Call``."""
         self.sent = failure.sent
-        self._end(failure.reason)
-
-    def _silent(self):
-        self._give_up()
-        self._end(f'silent for {self._idle_s} s')
-
-    def _give_up(self):
-        self._watch.cancel()
-        channel, self._channel = self._channel, None
-        if channel is not None:
-            self._count(channel)
-            self.sent = channel.cancel()
-
-    def _count(self, channel):
-        metrics.LINK_BYTES.labels(self._route, 'out').inc(channel.bytes_out)
-        metrics.LINK_BYTES.labels(self._route, 'in').inc(channel.bytes_in)
-
-    def _end(self, why):
-        self._watch.cancel()
-        channel, self._channel = self._channel, None
-        if channel is not None:
-            self._count(channel)
+        self._finish(failure.reason)
+
+    def _on_idle_timeout(self):
+        self._abort()
+        self._finish(f'silent for {self._idle_s} s')
+
+    def _abort(self):
+        self._idle_timer.cancel()
+        conn, self._conn = self._conn, None
+        if conn is not None:
+            self._count_bytes(conn)
+            self.sent = conn.cancel()
+
+    def _count_bytes(self, conn):
+        metrics.LINK_BYTES.labels(self._route, 'out').inc(conn.bytes_out)
+        metrics.LINK_BYTES.labels(self._route, 'in').inc(conn.bytes_in)
+
+    def _finish(self, reason):
+        self._idle_timer.cancel()
+        conn, self._conn = self._conn, None
+        if conn is not None:
+            self._count_bytes(conn)
         done, self._on_end = self._on_end, None
         if done:
-            done(why and errors.LinkError(f'{self.addr[0]}:{self.addr[1]} '
-                                          f'{why} (sent={self.sent})'))
+            done(reason and errors.LinkError(f'{self.addr[0]}:{self.addr[1]} '
+                                             f'{reason} (sent={self.sent})'))
 
 
 class ConnectionPools(core.BaseComponent):
-    """The process's channels to other processes.
+    """The connection pools of the process, one for each peer.
 
-    circuits' own ``TCPClient`` polls in a busy loop while it connects and
-    takes a refused connection for one still under way: a crashed replica
-    cost 5 s and a full core to notice.
+    circuits' own ``TCPClient`` is not used: it polls in a busy loop while it
+    connects and treats a refused connection as still pending, so that
+    detecting a crashed replica takes 5 s and a full core.
     """
     channel = 'links'
 
@@ -152,7 +156,7 @@
         return pool
 
 
-def _links(root):
+def _find_pools(root):
     return next(c for c in root.components if isinstance(c, ConnectionPools))
 
 
@@ -177,10 +181,11 @@
         on_head: Callback, see ``Call``.
         on_data: Callback, see ``Call``.
         on_end: Callback, see ``Call``.
-        idle_s: Seconds without a byte from the peer before the call fails.
+        idle_s: Longest time without a byte from the peer before the call
+            fails, s.
     """
-    links = _links(mgr.root)
-    call_ = Call(links.loop,
+    pools = _find_pools(mgr.root)
+    call_ = Call(pools.loop,
                  addr,
                  method,
                  path,
@@ -189,14 +194,15 @@
                  on_data=on_data,
                  on_end=on_end,
                  idle_s=idle_s)
-    call_.begin(links.pool(addr))
+    call_.begin(pools.pool(addr))
     return call_
 
 
 def fetch_json(mgr, addr, method, path, body=None, *, done, idle_s=5.0):
-    """Makes a buffered JSON call; ``done(status, obj, exc)`` gets the result.
+    """Starts a call and buffers its JSON response; returns its ``Call``.
 
-    ``obj`` is the decoded body, or None when it is not JSON.
+    ``done(status, obj, exc)`` gets the result. ``obj`` is the decoded body, or
+    None if the body is not JSON.
     """
     buf = []
 
--- a/gorsefall/net/outbound.py
+++ b/gorsefall/net/outbound.py
@@ -1,8 +1,9 @@
-"""HTTP/1.1 towards back ends and the store: kept channels, one call at a time.
+"""HTTP/1.1 client: persistent connections, one call at a time on each.
 
-The framing is by ``h11``. The parser of ``circuits.web`` neither tells bytes
-after an answer from the answer nor a cut body from one that ends with its
-connection, and both decide here whether an answer may be passed on.
+``h11`` does the framing. The parser of ``circuits.web`` cannot be used: it
+distinguishes neither surplus bytes from the response before them, nor a
+truncated body from one that is delimited by the end of the connection. Both
+decide whether a response may be passed on.
 """
 
 import collections
@@ -15,25 +16,28 @@
 from gorsefall.net import tcp
 
 DEFAULT_IDLE_TIMEOUT_S = 0.4
-"""How long a channel is kept where its peer names no timeout, s. Peers name
-theirs in whole seconds, so an unnamed one may be under a second."""
+"""Longest time a connection stays in the pool if its peer announces no
+keep-alive timeout, s. Peers announce whole seconds, so an unannounced timeout
+may be below one second."""
 
 IDLE_TIMEOUT_FRACTION = 0.7
-"""Part of a peer's idle timeout for which a channel is used again; the rest
-covers the way there, so that no request crosses the peer's close."""
+"""Fraction of a peer's announced idle timeout for which a connection is reused.
+The rest covers the network delay: a request sent later could reach the peer
+after it has closed the connection."""
 
 _KEEP_ALIVE = re.compile(rb'timeout=(\d+)')
 
 
 @dataclasses.dataclass(frozen=True)
 class Failure:
-    """Why a call has no whole answer.
+    """Why a call got no complete response.
 
     Attributes:
-        sent: Whether the peer may have received any of the request.
+        sent: Whether the peer may have received part of the request.
         reason: What happened, for logs.
-        broke: Whether its connection ended by itself, as that of a peer does
-            whose process ends; not so what we gave up or cannot read.
+        connection_lost: Whether the connection failed or was closed by the
+            peer, as when the peer's process exits. False for a connect timeout
+            and for a response that is not valid HTTP.
     """
     sent: bool
     reason: str
@@ -41,7 +45,7 @@
 
 
 class Call:
-    """One request and what to do with its answer; subclasses override.
+    """A request and the callbacks for its response; subclasses override.
 
     Attributes:
         method: HTTP method, bytes.
@@ -57,52 +61,59 @@
         self.body = body
 
     def matches_response(self, status, fields):
-        """Returns whether an answer head belongs to this request."""
+        """Returns whether a response head belongs to this request."""
         del status, fields
         return True
 
     def on_head(self, status, fields):
-        """Called with the status and ``headers.Headers`` of the answer."""
+        """Called with the status and ``headers.Headers`` of the response."""
 
     def on_data(self, data):
         """Called with each piece of the body."""
 
     def on_end(self):
-        """Called once when the answer is whole."""
+        """Called once when the response is complete."""
 
     def on_fail(self, failure):
-        """Called once with the ``Failure`` when there is no whole answer."""
+        """Called once with a ``Failure`` if no complete response arrives."""
 
 
 class Connection:
     """One connection to a peer.
 
     Attributes:
-        busy: Whether a call is under way.
+        busy: Whether a call is in progress.
         bytes_in: Bytes received.
         bytes_out: Bytes handed to the kernel.
     """
 
-    def __init__(self, loop, addr, timeout_s, released, window_bytes=None):
+    def __init__(self,
+                 loop,
+                 addr,
+                 connect_timeout_s,
+                 on_release,
+                 window_bytes=None):
         """Starts connecting.
 
         Args:
             loop: The ``reactor.Reactor``.
             addr: ``(host, port)``.
-            timeout_s: Longest time to connect, s.
-            released: Called with ``(channel, idle_s)`` when the channel can
-                be used again for ``idle_s``, with 0 when it is closed.
+            connect_timeout_s: Longest time to connect, s.
+            on_release: Called with ``(conn, idle_timeout_s)`` when the
+                connection can be reused within ``idle_timeout_s`` seconds, and
+                with a timeout of 0 when it is closed.
             window_bytes: See ``tcp.Connection.connect``.
         """
         self._loop = loop
-        self._released = released
+        self._on_release = on_release
         self._call = None
         self._h11 = None
-        self._spoilt = False
-        self._skipping = False
-        self._idle_s = DEFAULT_IDLE_TIMEOUT_S
+        self._desynchronized = False
+        self._skipping_response = False
+        self._idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S
         self._conn = tcp.Connection(loop, self)
-        self._timer = loop.call_later(timeout_s, self._not_connected)
+        self._timer = loop.call_later(connect_timeout_s,
+                                      self._on_connect_timeout)
         self._conn.connect(addr, window_bytes)
 
     @property
@@ -121,18 +132,19 @@
         return self._conn.bytes_out
 
     def is_reusable(self):
-        """Returns whether an idle channel is sound and quiet."""
+        """Returns whether an idle connection is open with no input pending."""
         return self._conn.is_open and not self._conn.has_pending_input()
 
     def send(self, call):
-        """Sends ``call``; only when no other is under way."""
+        """Sends ``call``; no other call may be in progress."""
         self._call = call
         self._conn.has_written = False
-        self._conn.write(self._begin(call))
+        self._conn.write(self._start_exchange(call))
 
-    def _begin(self, call):
+    def _start_exchange(self, call):
+        """Resets the HTTP state; returns the bytes of the call's request."""
         self._h11 = h11.Connection(h11.CLIENT)
-        self._skipping = False
+        self._skipping_response = False
         out = self._h11.send(
             h11.Request(method=call.method,
                         target=call.target,
@@ -142,27 +154,27 @@
         return out + self._h11.send(h11.EndOfMessage())
 
     def cancel(self):
-        """Gives up the call; its peer sees the channel close.
+        """Cancels the call by closing the connection; no callback follows.
 
         Returns:
-            Whether the peer may have received any of the request.
+            Whether the peer may have received part of the request.
         """
         self._call = None
         sent = self._conn.has_written
-        self._shut()
+        self._close()
         return sent
 
     def pause(self):
-        """Stops reading while the answer's receiver is slow."""
+        """Stops reading while the consumer of the response is slow."""
         self._conn.pause()
 
     def resume(self):
-        """Reads again after ``pause``."""
+        """Resumes reading after ``pause``."""
         self._conn.resume()
 
     def close(self):
-        """Closes the channel, which must be idle."""
-        self._shut()
+        """Closes the connection, which must be idle."""
+        self._close()
 
     def on_connected(self):
         """See ``tcp.Connection``."""
@@ -173,105 +185,109 @@
 
     def on_broken(self, reason):
         """See ``tcp.Connection``."""
-        self._broke(reason)
+        self._fail_connection(reason)
 
     def on_bytes(self, data):
         """See ``tcp.Connection``."""
         if self._call is None:
-            # An end, or bytes that answer nothing: whatever they are, the
-            # next answer on this channel could not be told from them.
-            self._shut()
+            # The peer closed an idle connection or sent unsolicited bytes.
+            # The next response could not be distinguished from such bytes.
+            self._close()
             return
         try:
             self._h11.receive_data(data)
-            while self._call is not None and self._next():
+            while self._call is not None and self._process_event():
                 pass
         except h11.RemoteProtocolError as exc:
-            # An end where more is due is no fault of the peer's spelling.
+            # h11 also raises this error at a premature end of the stream,
+            # which is a lost connection rather than malformed HTTP.
             if data:
-                self._fail(f'bad answer: {exc}')
+                self._fail(f'malformed HTTP response: {exc}')
             else:
-                self._broke('closed before its answer was whole')
+                self._fail_connection(
+                    'connection closed before the response was '
+                    'complete')
 
-    def _next(self):
+    def _process_event(self):
         event = self._h11.next_event()
         if event is h11.NEED_DATA or event is h11.PAUSED:
             return False
         if isinstance(event, h11.Response):
             self._on_response(event)
         elif isinstance(event, h11.Data):
-            if not self._skipping:
+            if not self._skipping_response:
                 self._call.on_data(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
             self._on_message_end()
         elif isinstance(event, h11.ConnectionClosed):
-            self._broke('closed without an answer')
+            self._fail_connection('connection closed before a response')
             return False
         return True
 
     def _on_response(self, event):
         fields = headers.from_items(event.headers.raw_items())
         if not self._call.matches_response(event.status_code, fields):
-            # A peer may answer an earlier request twice or late. Taking
-            # that for the answer due here would hand one caller another's
-            # answer. It is read past; the channel is not used again.
-            self._skipping = self._spoilt = True
+            # A peer may respond twice or late to an earlier request. If
+            # that were taken for the response to this request, one caller
+            # would get another caller's response. It is skipped, and the
+            # connection is not reused.
+            self._skipping_response = self._desynchronized = True
             return
-        keep = _KEEP_ALIVE.search(fields.by_name.get(b'keep-alive', b''))
-        if keep:
-            self._idle_s = IDLE_TIMEOUT_FRACTION * int(keep.group(1))
+        match = _KEEP_ALIVE.search(fields.by_name.get(b'keep-alive', b''))
+        if match:
+            self._idle_timeout_s = IDLE_TIMEOUT_FRACTION * int(match.group(1))
         self._call.on_head(event.status_code, fields)
 
     def _on_message_end(self):
-        if self._skipping:
+        if self._skipping_response:
             rest, _ = self._h11.trailing_data
-            self._begin(self._call)
+            self._start_exchange(self._call)
             if rest:
                 self._h11.receive_data(rest)
             return
-        # Bytes after the answer belong to no request, and a peer that
-        # answers before it has read the whole request would take our next
-        # one for the rest of this.
+        # Bytes after the response belong to no request. A peer that responds
+        # before it has read the whole request would read the next request as
+        # the rest of this one. In both cases the connection is not reused.
         rest, closed = self._h11.trailing_data
-        sound = (not self._spoilt and not rest and not closed and
-                 not self._conn.unsent_bytes and
-                 self._h11.their_state is h11.DONE and
-                 self._h11.our_state is h11.DONE)
+        reusable = (not self._desynchronized and not rest and not closed and
+                    not self._conn.unsent_bytes and
+                    self._h11.their_state is h11.DONE and
+                    self._h11.our_state is h11.DONE)
         call, self._call = self._call, None
-        if sound:
-            self._released(self, self._idle_s)
+        if reusable:
+            self._on_release(self, self._idle_timeout_s)
         else:
-            self._shut()
+            self._close()
         call.on_end()
 
-    def _not_connected(self):
-        self._fail('not connected in time')
+    def _on_connect_timeout(self):
+        self._fail('connect timeout')
 
-    def _broke(self, reason):
-        self._fail(reason, broke=True)
+    def _fail_connection(self, reason):
+        self._fail(reason, connection_lost=True)
 
-    def _fail(self, reason, *, broke=False):
+    def _fail(self, reason, *, connection_lost=False):
         call, self._call = self._call, None
         sent = self._conn.has_written
-        self._shut()
+        self._close()
         if call is not None:
-            call.on_fail(Failure(sent, reason, broke))
+            call.on_fail(Failure(sent, reason, connection_lost))
 
-    def _shut(self):
+    def _close(self):
         self._timer.cancel()
         self._conn.close()
-        released, self._released = self._released, None
-        if released is not None:
-            released(self, 0.0)
+        on_release, self._on_release = self._on_release, None
+        if on_release is not None:
+            on_release(self, 0.0)
 
 
 class Pool:
-    """The channels of one peer, kept and used again.
+    """A pool of persistent connections to one peer.
 
     Attributes:
-        opened: Channels that were opened.
-        size: Channels open now.
-        max_size: Most channels open at once.
+        opened_count: Connections opened since the start.
+        size: Connections open now.
+        max_size: Largest number of connections open at once.
     """
 
     def __init__(self,
@@ -291,45 +307,44 @@
         self.opened_count = 0
 
     def is_full(self):
-        """Returns whether no call can be sent now."""
+        """Returns whether all connections are open and none is idle."""
         return self.size >= self.max_size and not self._idle
 
     def send(self, call):
-        """Sends ``call`` on a kept channel or a new one; returns it."""
-        channel = self._kept()
-        if channel is None:
+        """Sends ``call`` on an idle or new connection; returns that."""
+        conn = self._take_idle()
+        if conn is None:
             self.size += 1
             self.opened_count += 1
-            channel = Connection(self._loop, self._addr,
-                                 self._connect_timeout_s, self._on_released,
-                                 self._window_bytes)
-        channel.send(call)
-        return channel
+            conn = Connection(self._loop, self._addr, self._connect_timeout_s,
+                              self._on_released, self._window_bytes)
+        conn.send(call)
+        return conn
 
-    def _kept(self):
+    def _take_idle(self):
         while self._idle:
-            channel, timer = self._idle.pop()
+            conn, timer = self._idle.pop()
             timer.cancel()
-            if channel.is_reusable():
-                return channel
-            channel.close()
+            if conn.is_reusable():
+                return conn
+            conn.close()
         return None
 
-    def _on_released(self, channel, idle_s):
+    def _on_released(self, conn, idle_s):
         if idle_s:
-            timer = self._loop.call_later(idle_s, channel.close)
-            self._idle.append((channel, timer))
+            timer = self._loop.call_later(idle_s, conn.close)
+            self._idle.append((conn, timer))
             return
         self.size -= 1
-        for entry in self._idle:
-            if entry[0] is channel:
-                entry[1].cancel()
-                self._idle.remove(entry)
+        for item in self._idle:
+            if item[0] is conn:
+                item[1].cancel()
+                self._idle.remove(item)
                 break
 
     def close(self):
-        """Closes the idle channels; busy ones end with their calls."""
+        """Closes the idle connections; a busy one ends with its call."""
         while self._idle:
-            channel, timer = self._idle.pop()
+            conn, timer = self._idle.pop()
             timer.cancel()
-            channel.close()
+            conn.close()
--- a/gorsefall/net/poller.py
+++ b/gorsefall/net/poller.py
@@ -1,8 +1,8 @@
-"""Lets circuits' own servers wait on the process's one reactor.
+"""Lets circuits' own servers use the reactor of the process.
 
-circuits' pollers wait by themselves: beside a reactor each would hold up the
-other. Here a server's sockets are watched by the reactor, and what is ready is
-told to the server by circuits' own events.
+A circuits poller blocks while it waits, and so does the reactor: side by side,
+each would delay the other. Here the reactor watches the sockets of a server,
+and circuits' own events notify the server of ready sockets.
 """
 
 from circuits import core
@@ -11,7 +11,7 @@
 from gorsefall.net import reactor
 
 
-class _Watched(reactor.Handler):
+class _SocketHandler(reactor.Handler):
     """One socket of a server."""
 
     def __init__(self, poller, sock):
@@ -20,21 +20,21 @@
 
     def on_readable(self):
         """See ``reactor.Handler``."""
-        self._tell(pollers._read)
+        self._fire(pollers._read)
 
     def on_writable(self):
         """See ``reactor.Handler``."""
-        self._tell(pollers._write)
+        self._fire(pollers._write)
 
     def on_handler_error(self):
-        """See ``reactor.Handler``; firing an event does not fail."""
+        """Does nothing: firing an event does not raise."""
 
-    def _tell(self, event):
+    def _fire(self, event):
         self._poller.fire(event(self._sock), self._poller.getTarget(self._sock))
 
 
 class Poller(pollers.BasePoller):
-    """The poller that circuits' servers find in the tree."""
+    """The poller that circuits' servers find in the component tree."""
     channel = 'poller'
 
     def __init__(self, loop):
@@ -48,7 +48,7 @@
 
     @core.handler('generate_events', override=True)
     def _on_generate_events(self, event):
-        """Waits for nothing: the reactor does."""
+        """Does not wait: the reactor does."""
 
     def addReader(self, source, fd):  # noqa: N802
         """See circuits."""
@@ -77,10 +77,13 @@
 
     def _watch(self, fd):
         if fd.fileno() < 0:
-            # circuits discards a socket also after it has closed it.
+            # circuits also discards a socket that it has already closed.
             return
         read, write = self.isReading(fd), self.isWriting(fd)
         if read or write:
-            self._loop.watch(fd, _Watched(self, fd), read=read, write=write)
+            self._loop.watch(fd,
+                             _SocketHandler(self, fd),
+                             read=read,
+                             write=write)
         else:
             self._loop.unwatch(fd)
--- a/gorsefall/net/reactor.py
+++ b/gorsefall/net/reactor.py
@@ -1,9 +1,9 @@
-"""Socket readiness and timers of a process, on circuits and a steady clock.
+"""Socket readiness and timers of a process, as a circuits component.
 
-circuits' own poller fires one event per ready socket and keeps its sockets
-in lists (removing one is linear in their number); its timers run on the time
-of day, which may jump. This component calls the owner of a socket directly
-and keeps its timers on the monotonic clock.
+circuits' own poller fires an event for each ready socket and keeps its sockets
+in lists, so that removing one takes time linear in their number; its timers
+use the wall clock, which may jump. This component calls the handler of a
+socket directly, and its timers use the monotonic clock.
 """
 
 import heapq
@@ -19,14 +19,14 @@
 from gorsefall import logs
 
 MAX_WAIT_S = 0.5
-"""Longest sleep of the loop, s; bounds how late a missed wake-up is seen."""
+"""Longest wait of the loop, s; bounds the delay after a missed wake-up."""
 
 _READ = select.EPOLLIN | select.EPOLLRDHUP
 _FAILED = select.EPOLLHUP | select.EPOLLERR
 
 
 class Timer:
-    """A callback due at one moment of the steady clock; may be cancelled."""
+    """A callback that is due at a time of the monotonic clock."""
     __slots__ = ('due_at', 'callback')
 
     def __init__(self, due_at, callback):
@@ -34,23 +34,23 @@
         self.callback = callback
 
     def cancel(self):
-        """Makes the callback never happen; later calls do nothing."""
+        """Cancels the callback; does nothing once it has run."""
         self.callback = None
 
 
 class Handler:
-    """What owns a socket; the reactor calls it when the socket is ready."""
+    """The owner of a socket; the reactor calls it when the socket is ready."""
 
     def on_readable(self):
-        """Called when bytes, an end of stream or an error can be read."""
+        """Called when bytes, an EOF or an error can be read."""
         raise NotImplementedError
 
     def on_writable(self):
-        """Called when the socket takes bytes again, or has connected."""
+        """Called when the socket accepts bytes again or has connected."""
         raise NotImplementedError
 
     def on_handler_error(self):
-        """Called when one of the other calls raised an exception."""
+        """Called after another method of the handler raised an exception."""
 
 
 def find_reactor(component):
@@ -62,7 +62,7 @@
     """Polls all sockets of the process and runs its timers.
 
     Attributes:
-        now: Time of the current pass, s (monotonic).
+        now: Monotonic time of the current pass, s, taken after its wait.
     """
     channel = 'reactor'
 
@@ -70,12 +70,13 @@
         super().__init__()
         self._epoll = select.epoll()
         self._watched = {}
-        self._due = []
-        self._count = itertools.count()
+        self._timers = []
+        self._sequence = itertools.count()
         self._log = logs.get('reactor')
         self.now = time.monotonic()
-        # A signal handler only queues an event; without this the loop would
-        # sleep on and a shutdown would begin up to MAX_WAIT_S late.
+        # A signal handler only queues an event. Without the wake-up pipe the
+        # loop would continue to wait, and a shutdown would begin up to
+        # MAX_WAIT_S late.
         self._wake_recv, self._wake_send = os.pipe()
         os.set_blocking(self._wake_recv, False)
         os.set_blocking(self._wake_send, False)
@@ -83,7 +84,7 @@
         self._epoll.register(self._wake_recv, select.EPOLLIN)
 
     def watch(self, sock, handler, *, read, write):
-        """Starts watching ``sock``, or changes what it is watched for."""
+        """Starts watching ``sock``, or changes the events it is watched for."""
         mask = (_READ if read else 0) | (select.EPOLLOUT if write else 0)
         fd = sock.fileno()
         if fd in self._watched:
@@ -93,7 +94,7 @@
         self._watched[fd] = handler
 
     def unwatch(self, sock):
-        """Stops watching ``sock``; call it before closing the socket."""
+        """Stops watching ``sock``; must be called before closing the socket."""
         fd = sock.fileno()
         if self._watched.pop(fd, None) is not None:
             self._epoll.unregister(fd)
@@ -101,18 +102,19 @@
     def call_later(self, delay_s, callback):
         """Calls ``callback()`` after ``delay_s`` seconds; returns a Timer."""
         timer = Timer(time.monotonic() + delay_s, callback)
-        heapq.heappush(self._due, (timer.due_at, next(self._count), timer))
+        heapq.heappush(self._timers,
+                       (timer.due_at, next(self._sequence), timer))
         return timer
 
     def call_every(self, period_s, callback):
-        """Calls ``callback()`` every ``period_s`` seconds from now on."""
+        """Calls ``callback()`` every ``period_s`` seconds."""
 
-        def due():
-            # Set first, so that a call that fails is not the last one.
-            self.call_later(period_s, due)
+        def run():
+            # Scheduled first, so that an exception does not stop the series.
+            self.call_later(period_s, run)
             callback()
 
-        self.call_later(period_s, due)
+        self.call_later(period_s, run)
 
     @core.handler('generate_events', priority=-9)
     def _on_generate_events(self, event):
@@ -120,9 +122,11 @@
         self.step(event.time_left)
 
     def step(self, time_left):
-        """Waits up to ``time_left`` s (below 0: as long as need be), once.
+        """Runs one pass: waits, then runs ready handlers and due timers.
 
-        Then calls the handlers of ready sockets and the timers due.
+        Args:
+            time_left: Longest wait, s; below 0 for ``MAX_WAIT_S``. The wait
+                ends early at a ready socket or a due timer.
         """
         self._poll(time_left)
         self._run_timers()
@@ -130,8 +134,8 @@
     def _poll(self, time_left):
         wait = MAX_WAIT_S if time_left < 0 else min(time_left, MAX_WAIT_S)
         self._drop_cancelled()
-        if self._due:
-            wait = min(wait, max(0.0, self._due[0][0] - time.monotonic()))
+        if self._timers:
+            wait = min(wait, max(0.0, self._timers[0][0] - time.monotonic()))
         ready = self._epoll.poll(wait)
         self.now = time.monotonic()
         for fd, mask in ready:
@@ -149,20 +153,21 @@
             if (mask & select.EPOLLOUT and self._watched.get(fd) is handler):
                 handler.on_writable()
         except Exception:
-            # One connection's fault must not end the process and with it
-            # every other request; it is logged with its traceback, and the
-            # connection ends so that nobody waits on it in vain.
+            # An exception in the handler of one connection must not end the
+            # process and with it all other requests. It is logged with its
+            # traceback, and the handler closes its connection so that nothing
+            # waits for it indefinitely.
             self._log.exception('handler_failed')
             handler.on_handler_error()
 
     def _drop_cancelled(self):
-        while self._due and self._due[0][2].callback is None:
-            heapq.heappop(self._due)
+        while self._timers and self._timers[0][2].callback is None:
+            heapq.heappop(self._timers)
 
     def _run_timers(self):
         now = time.monotonic()
-        while self._due and self._due[0][0] <= now:
-            timer = heapq.heappop(self._due)[2]
+        while self._timers and self._timers[0][0] <= now:
+            timer = heapq.heappop(self._timers)[2]
             callback, timer.callback = timer.callback, None
             if callback is None:
                 continue
--- a/gorsefall/net/tcp.py
+++ b/gorsefall/net/tcp.py
@@ -1,4 +1,4 @@
-"""TCP connections without blocking: buffered writes, bounded reads."""
+"""Non-blocking TCP connections with buffered writes and bounded reads."""
 
 import contextlib
 import errno
@@ -10,21 +10,21 @@
 
 MAX_RECV_BYTES = 65536
 LISTEN_BACKLOG = 512
-"""Connections the kernel holds for us; a full queue costs a caller seconds,
-as its opening packet is dropped and sent again."""
+"""Connections that the kernel queues until they are accepted. If the queue is
+full, the kernel drops a caller's SYN, and its retransmission takes seconds."""
 
 USER_TIMEOUT_MS = 1500
-"""Unacknowledged bytes older than this end a connection, ms. A peer without
-power or behind a partition never answers; this is how it shows. Well above
-a few lost packets' retransmissions (200 ms each)."""
+"""Age at which unacknowledged bytes close a connection, ms. This detects a
+peer that lost power or is behind a network partition. The value leaves time
+for several retransmissions of lost packets (200 ms each)."""
 
 KEEPALIVE_IDLE_S = 2
 KEEPALIVE_PROBES = 2
-"""Probes, each KEEPALIVE_IDLE_S apart, that go unanswered before a quiet
-connection is taken for dead."""
+"""Unanswered probes, KEEPALIVE_IDLE_S apart, after which an idle connection is
+considered dead."""
 
 
-def _options(sock):
+def _set_options(sock):
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT,
@@ -36,18 +36,19 @@
 
 
 class Connection(reactor.Handler):
-    """One TCP connection; tells its owner what happens on it.
+    """One TCP connection; calls back its owner on every event.
 
-    The owner implements ``on_connected()``, ``on_bytes(data)`` (empty at the
-    peer's orderly end), ``on_broken(reason)`` (once, when the connection
-    failed; it is closed then) and ``on_drained()`` (all written bytes were
-    handed to the kernel).
+    The owner implements ``on_connected()``, ``on_bytes(data)`` (empty when the
+    peer has shut down its sending side), ``on_broken(reason)`` (called once
+    when the connection has failed and is closed) and ``on_drained()`` (all
+    written bytes were handed to the kernel).
 
     Attributes:
-        unsent: Bytes written but not yet handed to the kernel, their number.
-        wrote: True once any byte was handed to the kernel.
-        refused: Whether it broke as nothing listens at the address.
-        open: False once closed.
+        unsent_bytes: Number of bytes written but not yet handed to the kernel.
+        has_written: True once any byte was handed to the kernel.
+        was_refused: Whether connecting failed because nothing listens at the
+            address.
+        is_open: False once closed.
         bytes_in: Bytes received.
         bytes_out: Bytes handed to the kernel.
     """
@@ -56,31 +57,31 @@
         self._loop = loop
         self._owner = owner
         self._sock = sock
-        self._out = bytearray()
+        self._send_buffer = bytearray()
         self._reading = True
         self._connecting = False
         self.has_written = self.was_refused = False
         self.bytes_in = self.bytes_out = 0
         self.is_open = sock is not None
         if sock is not None:
-            _options(sock)
-            self._watch()
+            _set_options(sock)
+            self._update_watch()
 
     @property
     def unsent_bytes(self):
         """See the class."""
-        return len(self._out)
+        return len(self._send_buffer)
 
     def connect(self, addr, window_bytes=None):
-        """Starts connecting to ``addr``; the outcome comes by callback.
+        """Starts connecting to ``addr``; a callback reports the outcome.
 
         Args:
             addr: ``(host, port)``.
-            window_bytes: Most that the peer may send ahead; None leaves it to
-                the kernel.
+            window_bytes: Size of the receive buffer, which limits the bytes
+                the peer may have in flight; None for the kernel's default.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        _options(sock)
+        _set_options(sock)
         if window_bytes is not None:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, window_bytes)
         self._sock = sock
@@ -88,29 +89,29 @@
         self._connecting = True
         code = sock.connect_ex(addr)
         if code not in (0, errno.EINPROGRESS):
-            # Deferred, so that no callback comes before this returns.
-            self._loop.call_later(0, lambda: self._not_connected(code))
+            # Deferred, so that no callback runs before this method returns.
+            self._loop.call_later(0, lambda: self._fail_connecting(code))
             return
-        self._watch()
+        self._update_watch()
 
     def write(self, data):
-        """Sends ``data``, now or as soon as the peer takes it."""
+        """Sends ``data`` now or when the kernel accepts it."""
         if not self.is_open:
             return
-        self._out += data
+        self._send_buffer += data
         if not self._connecting:
             self._flush()
 
     def pause(self):
-        """Stops reading, so that a fast peer cannot fill our memory."""
+        """Stops reading, so that a fast peer cannot fill the memory."""
         self._set_reading(False)
 
     def resume(self):
-        """Reads again after ``pause``."""
+        """Resumes reading after ``pause``."""
         self._set_reading(True)
 
     def has_pending_input(self):
-        """Returns whether unread bytes or an end wait on the socket."""
+        """Returns whether the socket has unread bytes, an EOF or an error."""
         try:
             self._sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -120,7 +121,7 @@
         return True
 
     def close(self):
-        """Closes the connection; nothing is called after this."""
+        """Closes the connection; no callback follows."""
         if not self.is_open:
             return
         self.is_open = False
@@ -128,7 +129,7 @@
         self._sock.close()
 
     def abort(self):
-        """Closes with a reset, so that the peer cannot take it for an end."""
+        """Closes with a reset, which the peer cannot mistake for an EOF."""
         if self.is_open:
             with contextlib.suppress(OSError):
                 self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
@@ -138,10 +139,10 @@
     def on_readable(self):
         """See ``reactor.Handler``."""
         if self._connecting:
-            self._connected()
+            self._finish_connecting()
             return
         if not self._reading:
-            # Only a hang-up wakes a paused connection.
+            # A paused connection becomes readable only at a hang-up.
             self._check_hang_up()
             return
         try:
@@ -149,7 +150,7 @@
         except BlockingIOError:
             return
         except OSError as exc:
-            self._break(exc.strerror)
+            self._fail(exc.strerror)
             return
         self.bytes_in += len(data)
         if not data:
@@ -159,62 +160,62 @@
     def on_writable(self):
         """See ``reactor.Handler``."""
         if self._connecting:
-            self._connected()
+            self._finish_connecting()
             return
         self._flush()
 
     def on_handler_error(self):
         """See ``reactor.Handler``."""
-        self._break('fault in the handler')
+        self._fail('unhandled exception in a connection callback')
 
     def _check_hang_up(self):
         code = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        self._break(os.strerror(code) if code else 'closed by the peer')
+        self._fail(os.strerror(code) if code else 'closed by the peer')
 
-    def _connected(self):
+    def _finish_connecting(self):
         code = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
-            self._not_connected(code)
+            self._fail_connecting(code)
             return
         self._connecting = False
         self._owner.on_connected()
         if self.is_open:
             self._flush()
 
-    def _not_connected(self, code):
+    def _fail_connecting(self, code):
         self.was_refused = code == errno.ECONNREFUSED
-        self._break(os.strerror(code))
+        self._fail(os.strerror(code))
 
     def _flush(self):
-        if self._out:
+        if self._send_buffer:
             try:
-                n = self._sock.send(self._out)
+                n = self._sock.send(self._send_buffer)
             except BlockingIOError:
                 n = 0
             except OSError as exc:
-                self._break(exc.strerror)
+                self._fail(exc.strerror)
                 return
             if n:
                 self.has_written = True
                 self.bytes_out += n
-                del self._out[:n]
-        self._watch()
-        if not self._out:
+                del self._send_buffer[:n]
+        self._update_watch()
+        if not self._send_buffer:
             self._owner.on_drained()
 
     def _set_reading(self, reading):
         if self._reading != reading:
             self._reading = reading
             if self.is_open:
-                self._watch()
+                self._update_watch()
 
-    def _watch(self):
+    def _update_watch(self):
         self._loop.watch(self._sock,
                          self,
                          read=self._reading,
-                         write=self._connecting or bool(self._out))
+                         write=self._connecting or bool(self._send_buffer))
 
-    def _break(self, reason):
+    def _fail(self, reason):
         if self.is_open:
             self.close()
             self._owner.on_broken(reason)
@@ -224,7 +225,8 @@
     """Accepts connections on one address.
 
     Attributes:
-        on_accept: Called with each new socket.
+        on_accept: Called with each accepted socket.
+        addr: ``(host, port)`` it listens on.
 
     Raises:
         errors.SettingsError: The address cannot be listened on.
@@ -252,13 +254,14 @@
             try:
                 sock, _ = self._sock.accept()
             except OSError:
-                # Nothing left to accept, the peer gave up, or descriptors
-                # are used up: the poller calls again while any wait.
+                # No connection is queued, the peer has closed it, or no file
+                # descriptor is free. The reactor calls again while any
+                # connection is queued.
                 return
             self.on_accept(sock)
 
     def on_writable(self):
-        """Listeners are never watched for writing."""
+        """Never called: listeners are not watched for writing."""
 
     def close(self):
         """Stops accepting."""
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Calls of the own wire to peers that end, stay silent or say too little."""
+"""Link calls to peers that close, stay silent or truncate their response."""
 
 import contextlib
 import dataclasses
@@ -8,84 +8,86 @@
 import peers
 from gorsefall.net import links
 
-WHOLE = b'HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{}\r\n'
+COMPLETE_RESPONSE = b'HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{}\r\n'
 
 
 @dataclasses.dataclass
-class Outcome:
-    """What the owner of a call was told."""
+class CallOutcome:
+    """The callbacks that a call made."""
     heads: list = dataclasses.field(default_factory=list)
     body: bytes = b''
     ends: list = dataclasses.field(default_factory=list)
 
-    def data(self, data):
+    def add_data(self, data):
         self.body += data
 
 
 @contextlib.contextmanager
-def calling(script, idle_s=2.0):
-    """Calls a peer with ``script``; yields the loop, call and outcome."""
+def scripted_call(script, idle_s=2.0):
+    """Calls a peer that sends ``script``; yields loop, call and outcome."""
     peer = peers.ScriptedPeer([script])
-    out = Outcome()
+    outcome = CallOutcome()
     with peers.loop() as loop:
         call = links.Call(loop,
                           peer.addr,
                           'POST',
                           '/load', {'a': 1},
-                          on_head=out.heads.append,
-                          on_data=out.data,
-                          on_end=out.ends.append,
+                          on_head=outcome.heads.append,
+                          on_data=outcome.add_data,
+                          on_end=outcome.ends.append,
                           idle_s=idle_s)
         call.begin(links.ConnectionPools(loop).pool(peer.addr))
-        yield loop, call, out
+        yield loop, call, outcome
     peer.close()
 
 
-def test_a_whole_reply():
-    with calling([WHOLE]) as (loop, call, out):
-        peers.run(loop, lambda: out.ends)
-        assert (out.heads, out.body, out.ends) == ([200], b'{}\r\n', [None])
+def test_complete_response():
+    with scripted_call([COMPLETE_RESPONSE]) as (loop, call, outcome):
+        peers.run(loop, lambda: outcome.ends)
+        assert (outcome.heads, outcome.body, outcome.ends) == ([200], b'{}\r\n',
+                                                               [None])
         assert call.sent and call.status == 200
 
 
 @pytest.mark.parametrize('script', [
     [b'HTTP/1.1 200 OK\r\n\r\n{}', None],
-    [WHOLE[:-2], None],
+    [COMPLETE_RESPONSE[:-2], None],
     [b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n', None],
     [None],
     [b'no HTTP at all\r\n\r\n'],
 ])
-def test_what_was_cut_is_no_reply(script):
-    """Symptom: callers get a 200 with half a body. Sequence: the peer dies in
-    the middle of its reply. Cause: the end of the connection was taken for
-    the end of the reply."""
-    with calling(script) as (loop, call, out):
-        peers.run(loop, lambda: out.ends)
-        assert len(out.ends) == 1 and out.ends[0] is not None
+def test_truncated_response_fails(script):
+    """A caller gets a 200 with half a body.
+
+    The peer exits while it sends its response, and the end of the connection
+    is treated as the end of the response.
+    """
+    with scripted_call(script) as (loop, call, outcome):
+        peers.run(loop, lambda: outcome.ends)
+        assert len(outcome.ends) == 1 and outcome.ends[0] is not None
         assert call.sent
 
 
-def test_a_peer_that_is_silent_is_given_up():
-    """A connection that something between the ends lost track of shows no
-    error of its own."""
-    with calling([b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n'],
-                 idle_s=0.2) as (loop, call, out):
-        peers.run(loop, lambda: out.ends)
-        assert 'silent' in str(out.ends[0]) and call.sent
+def test_silent_peer_fails_the_call():
+    """A connection that a device on the path has dropped shows no error."""
+    with scripted_call([b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n'],
+                       idle_s=0.2) as (loop, call, outcome):
+        peers.run(loop, lambda: outcome.ends)
+        assert 'silent' in str(outcome.ends[0]) and call.sent
 
 
-def test_one_that_goes_on_is_not():
+def test_slow_response_does_not_fail():
     pieces = [b'HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n'] + [b'x'] * 400
-    with calling(pieces, idle_s=0.2) as (loop, _, out):
-        peers.run(loop, lambda: out.ends)
-        assert out.ends == [None]
+    with scripted_call(pieces, idle_s=0.2) as (loop, _, outcome):
+        peers.run(loop, lambda: outcome.ends)
+        assert outcome.ends == [None]
 
 
-def test_a_refused_connection_was_not_sent():
-    """Only what never left may be told as not run."""
+def test_refused_connection_counts_as_not_sent():
+    """Only a request that was never sent may be reported as not run."""
     peer = peers.ScriptedPeer([])
     peer.close()
-    out = Outcome()
+    outcome = CallOutcome()
     with peers.loop() as loop:
         call = links.Call(loop,
                           peer.addr,
@@ -94,25 +96,27 @@
                           None,
                           on_head=None,
                           on_data=None,
-                          on_end=out.ends.append,
+                          on_end=outcome.ends.append,
                           idle_s=2.0)
         call.begin(links.ConnectionPools(loop).pool(peer.addr))
-        assert not out.ends
-        peers.run(loop, lambda: out.ends)
+        assert not outcome.ends
+        peers.run(loop, lambda: outcome.ends)
         assert not call.sent
 
 
-def test_nothing_is_told_after_a_cancel():
-    with calling([WHOLE]) as (loop, call, out):
+def test_no_callback_after_cancel():
+    with scripted_call([COMPLETE_RESPONSE]) as (loop, call, outcome):
         call.cancel()
         for _ in range(20):
             loop.step(0.005)
-        assert not out.heads and not out.ends
+        assert not outcome.heads and not outcome.ends
 
 
-def test_a_task_that_fails_once_is_called_again():
-    """Symptom: an entry never reads its catalogue again. Sequence: one call
-    of the task raises. Cause: the next one was set after the call."""
+def test_periodic_callback_continues_after_an_exception():
+    """An entry stops reading its catalogue after one call has raised.
+
+    This happens if the next call is scheduled only after the current one.
+    """
     calls = []
 
     def task():
--- a/tests/test_outbound.py
+++ b/tests/test_outbound.py
@@ -1,4 +1,4 @@
-"""Kept channels against peers that answer late, twice, cut or spoilt."""
+"""Persistent connections to peers that send late, repeated or bad data."""
 
 import socket
 
@@ -9,8 +9,8 @@
 import peers
 from gorsefall.net import outbound
 
-_FAULTS = ('whole', 'chunked', 'other first', 'twice', 'cut', 'garbage',
-           'extra bytes', 'to the end', 'asks to close')
+_BEHAVIOURS = ('whole', 'chunked', 'other first', 'twice', 'cut', 'garbage',
+               'extra bytes', 'to the end', 'asks to close')
 
 
 def head(rid, *fields):
@@ -18,7 +18,7 @@
     return ('\r\n'.join(lines) + '\r\n\r\n').encode()
 
 
-def whole(rid, *fields):
+def complete_response(rid, *fields):
     body = f'answer {rid}'.encode()
     return head(rid, f'Content-Length: {len(body)}', *fields) + body
 
@@ -27,29 +27,31 @@
     """Returns the pieces that a peer with ``fault`` sends for ``rid``."""
     body = f'answer {rid}'.encode()
     return {
-        'whole': [whole(rid)],
+        'whole': [complete_response(rid)],
         'chunked': [
             head(rid, 'Transfer-Encoding: chunked'),
             b'%x\r\n%s\r\n0\r\n\r\n' % (len(body), body)
         ],
-        'other first': [whole('old'), whole(rid)],
-        'twice': [whole(rid), whole(rid)],
-        'cut': [whole(rid)[:-2], None],
+        'other first': [complete_response('old'),
+                        complete_response(rid)],
+        'twice': [complete_response(rid),
+                  complete_response(rid)],
+        'cut': [complete_response(rid)[:-2], None],
         'garbage': [b'\x01\x02 nothing\r\n\r\n', None],
-        'extra bytes': [whole(rid) + b'more'],
+        'extra bytes': [complete_response(rid) + b'more'],
         'to the end': [head(rid) + body, None],
-        'asks to close': [whole(rid, 'Connection: close')],
+        'asks to close': [complete_response(rid, 'Connection: close')],
     }[fault]
 
 
-class Call(outbound.Call):
-    """Remembers what came of it."""
+class RecordingCall(outbound.Call):
+    """A call that records its outcome."""
 
     def __init__(self, rid):
         super().__init__(b'GET', b'/', [(b'Host', b'x')])
         self.rid = rid.encode()
         self.body = b''
-        self.got = b''
+        self.received = b''
         self.ended = False
         self.failure = None
 
@@ -57,7 +59,7 @@
         return fields.by_name[b'rid'] == self.rid
 
     def on_data(self, data):
-        self.got += data
+        self.received += data
 
     def on_end(self):
         self.ended = True
@@ -67,14 +69,13 @@
 
 
 @settings(max_examples=60, deadline=None)
-@given(st.lists(st.sampled_from(_FAULTS), min_size=1, max_size=12))
-def test_each_call_gets_its_own_whole_answer_or_fails(faults):
-    """One caller's answer at another.
-
-    Symptom: a caller gets the answer of an earlier request. Sequence: a peer
-    answers twice, late, or sends more than it announced, and the channel is
-    used again. Cause: the next bytes were taken for the next answer.
-    The oracle knows which faults leave a whole answer.
+@given(st.lists(st.sampled_from(_BEHAVIOURS), min_size=1, max_size=12))
+def test_each_call_gets_its_own_complete_response_or_fails(faults):
+    """A caller gets the response to another caller's request.
+
+    A peer responds twice or late, or sends more bytes than announced, and the
+    connection is reused: the surplus bytes are then read as the next response.
+    The test knows which faults leave a complete response.
     """
     rids = [f'r{i}' for i in range(len(faults))]
     peer = peers.ScriptedPeer(
@@ -82,25 +83,25 @@
     with peers.loop() as loop:
         pool = outbound.Pool(loop, peer.addr, max_size=4, connect_timeout_s=5.0)
         for fault, rid in zip(faults, rids, strict=True):
-            call = Call(rid)
+            call = RecordingCall(rid)
             pool.send(call)
             peers.run(loop, lambda c=call: c.ended or c.failure)
             if fault in ('cut', 'garbage'):
                 assert call.failure.sent
             else:
                 assert call.ended, call.failure
-                assert call.got == f'answer {rid}'.encode()
+                assert call.received == f'answer {rid}'.encode()
         pool.close()
         assert pool.size == 0
     peer.close()
 
 
-def test_a_refused_connection_was_not_sent():
-    """Only what never left may be told as not run."""
+def test_refused_connection_counts_as_not_sent():
+    """Only a request that was never sent may be reported as not run."""
     peer = peers.ScriptedPeer([])
     peer.close()
     with peers.loop() as loop:
-        call = Call('r')
+        call = RecordingCall('r')
         pool = outbound.Pool(loop, peer.addr, max_size=1, connect_timeout_s=5.0)
         pool.send(call)
         peers.run(loop, lambda: call.failure)
@@ -108,22 +109,22 @@
         assert pool.size == 0
 
 
-def test_a_connection_that_is_never_made_fails_in_time():
-    """Silent peer: a full queue or a partition shows no error."""
+def test_connect_timeout_fails_the_call():
+    """A full listen queue or a network partition shows no error."""
     sock = socket.socket()
     sock.bind(('127.0.0.1', 0))
     sock.listen(0)
-    full = [socket.socket() for _ in range(4)]
-    for other in full:
+    pending_socks = [socket.socket() for _ in range(4)]
+    for other in pending_socks:
         other.setblocking(False)
         other.connect_ex(sock.getsockname())
     with peers.loop() as loop:
-        call = Call('r')
+        call = RecordingCall('r')
         outbound.Pool(loop,
                       sock.getsockname(),
                       max_size=1,
                       connect_timeout_s=0.2).send(call)
         peers.run(loop, lambda: call.failure)
         assert not call.failure.sent
-    for other in (*full, sock):
+    for other in (*pending_socks, sock):
         other.close()
--- a/tests/test_tcp.py
+++ b/tests/test_tcp.py
@@ -1,4 +1,4 @@
-"""Connections whose peer sends more than is read."""
+"""Connections whose peer sends more than the reader consumes."""
 
 import array
 import fcntl
@@ -13,8 +13,8 @@
 SENT_BYTES = 2_000_000
 
 
-class _Owner:
-    """Takes no notice of what comes."""
+class _IgnoringOwner:
+    """An owner that ignores received data."""
 
     def __init__(self):
         self.connected = False
@@ -32,36 +32,35 @@
         raise AssertionError(reason)
 
 
-def _waiting(sock):
+def _unread_bytes(sock):
     """Returns how many bytes the kernel holds for a reader."""
-    found = array.array('i', [0])
-    fcntl.ioctl(sock, termios.FIONREAD, found)
-    return found[0]
+    count = array.array('i', [0])
+    fcntl.ioctl(sock, termios.FIONREAD, count)
+    return count[0]
 
 
-def test_a_peer_sends_no_more_ahead_than_the_window():
-    """Pauses in streams while a configuration comes in.
+def test_window_limits_what_a_peer_sends_ahead():
+    """Streams stall on a slow link while a large configuration is received.
 
-    Symptom: chats of an entry on a small link are late in the seconds of a
-    large change. Sequence: its transfer fills the queue of the link, and
-    events of streams wait behind it. Cause: the kernel lets a peer send far
-    ahead of what was read.
+    Without a limited receive window the kernel lets the peer send far ahead
+    of the reader. The transfer then fills the queue of the link, and the
+    events of streams wait behind it.
     """
     server = socket.create_server(('127.0.0.1', 0))
     with peers.loop() as loop, server:
-        owner = _Owner()
+        owner = _IgnoringOwner()
         conn = tcp.Connection(loop, owner)
         conn.connect(server.getsockname(), WINDOW_BYTES)
         conn.pause()
         peers.run(loop, lambda: owner.connected)
-        far, _ = server.accept()
-        with far:
-            far.settimeout(0.5)
+        peer_sock, _ = server.accept()
+        with peer_sock:
+            peer_sock.settimeout(0.5)
             try:
-                far.sendall(b'x' * SENT_BYTES)
+                peer_sock.sendall(b'x' * SENT_BYTES)
             except TimeoutError:
                 pass
             time.sleep(0.1)
-            # The kernel doubles what it is asked for, for its own records.
-            assert 0 < _waiting(conn._sock) <= 2 * WINDOW_BYTES
+            # The kernel doubles the requested size to cover its overhead.
+            assert 0 < _unread_bytes(conn._sock) <= 2 * WINDOW_BYTES
         conn.close()
