--- a/gorsefall/net/links.py
+++ b/gorsefall/net/links.py
@@ -5,8 +5,8 @@
 
 from gorsefall import errors
 from gorsefall import metrics
-from gorsefall.net import outbound
 from gorsefall.net import idletimer
+from gorsefall.net import outbound
 
 CONNECT_TIMEOUT_S = 1.0
 """Longest time to connect, s. Within a zone it takes less than 1 ms; a lost SYN
--- a/gorsefall/net/outbound.py
+++ b/gorsefall/net/outbound.py
@@ -205,8 +205,7 @@
                 self._fail(f'malformed HTTP response: {exc}')
             else:
                 self._fail_connection(
-                    'connection closed before the response was '
-                    'complete')
+                    'connection closed before the response was complete')
 
     def _process_event(self):
         event = self._h11.next_event()
@@ -311,7 +310,7 @@
         return self.size >= self.max_size and not self._idle
 
     def send(self, call):
-        """Sends ``call`` on an idle or new connection; returns that."""
+        """Sends ``call``; returns the idle or new connection it is sent on."""
         conn = self._take_idle()
         if conn is None:
             self.size += 1
@@ -330,9 +329,9 @@
             conn.close()
         return None
 
-    def _on_released(self, conn, idle_s):
-        if idle_s:
-            timer = self._loop.call_later(idle_s, conn.close)
+    def _on_released(self, conn, idle_timeout_s):
+        if idle_timeout_s:
+            timer = self._loop.call_later(idle_timeout_s, conn.close)
             self._idle.append((conn, timer))
             return
         self.size -= 1
