--- a/gorsefall/errors.py
+++ b/gorsefall/errors.py
@@ -1,4 +1,4 @@
-"""Every failure gorsefall reports, each a type with a stable code."""
+"""Exceptions for all failures that gorsefall reports, with stable codes."""
 
 
 class GorsefallError(Exception):
@@ -17,7 +17,7 @@
 
 
 class SettingsError(GorsefallError):
-    """A settings file is missing, unreadable or fails its checks."""
+    """A settings file is missing, unreadable or invalid."""
     code = 'bad_settings'
 
 
@@ -46,13 +46,13 @@
 
 
 class NoRouteError(BadRequestError):
-    """No route of the configuration in force matches the request."""
+    """No route of the active configuration matches the request."""
     code = 'no_route'
     status = 404
 
 
 class UnknownKeyError(BadRequestError):
-    """The request's key is missing or in no configuration in force."""
+    """The API key is missing or not in the active configuration."""
     code = 'unknown_key'
     status = 401
 
@@ -69,10 +69,11 @@
 
 
 class StoreError(GorsefallError):
-    """The platform's store refused, failed or did not answer.
+    """The platform's store refused or failed a request, or did not respond.
 
     Attributes:
-        forgotten: Whether it no longer keeps the records asked for.
+        records_expired: Whether the store has already deleted the requested
+            records.
     """
     code = 'store'
     status = 503
@@ -83,10 +84,10 @@
 
 
 class NotRunError(GorsefallError):
-    """The request was refused before dispatch: it certainly did not run.
+    """The request was refused and has certainly not run.
 
     Attributes:
-        retry_after: Seconds after which the caller may try again.
+        retry_after: Delay after which the caller may retry, s.
     """
     code = 'not_run'
     status = 503
@@ -97,29 +98,29 @@
 
 
 class ShedError(NotRunError):
-    """Admission refused the request to protect its tier's targets."""
+    """Admission control refused the request to protect latency targets."""
     code = 'shed'
     status = 429
 
 
 class RateLimitedError(NotRunError):
-    """The customer or class is over its rate or concurrency limit."""
+    """The customer or class exceeds its rate or concurrency limit."""
     code = 'rate_limited'
     status = 429
 
 
 class PoisonRequestError(BadRequestError):
-    """Replicas ended again and again as they ran the request: not sent."""
+    """Replicas repeatedly crashed while running this request; not sent."""
     code = 'crashes_replicas'
 
 
 class NoReplicaError(NotRunError):
-    """No live, non-leaving replica serves the requested model or service."""
+    """No available replica serves the requested model or service."""
     code = 'no_replica'
 
 
 class DeadlineError(NotRunError):
-    """The request's deadline passed while it waited."""
+    """The request's deadline passed before it was sent."""
     code = 'deadline'
 
 
@@ -129,41 +130,42 @@
 
 
 class UnconfirmedError(NotRunError):
-    """The configuration was not confirmed lately: a key may be revoked."""
+    """The configuration is not confirmed: the key may have been revoked."""
     code = 'unproven'
 
 
 class ReplicaRefusedError(NotRunError):
-    """The replica says that it did not run the request."""
+    """The replica reported that it did not run the request."""
     code = 'replica_refused'
 
 
 class DrainingError(NotRunError):
-    """This entry process is shutting down and takes no new work."""
+    """This entry is shutting down and accepts no new requests."""
     code = 'draining'
 
 
 class OutcomeUnknownError(GorsefallError):
-    """The request was dispatched and its outcome cannot be known.
+    """The request was sent and may or may not have run.
 
-    Raised instead of ``NotRunError`` whenever a back end may have acted.
+    Raised instead of ``NotRunError`` whenever a back end may have executed the
+    request.
     """
     code = 'outcome_unknown'
     status = 502
 
 
 class BackendFailedError(GorsefallError):
-    """Back ends failed and the answer could not be completed.
+    """Back ends failed and the response could not be completed.
 
-    Used for engines, whose generation changes nothing outside them; it
-    makes no claim that nothing ran (that is ``NotRunError``).
+    Used for engines, where generation has no side effects. Unlike
+    ``NotRunError`` it does not say that the request has not run.
     """
     code = 'backend_failed'
     status = 502
 
 
 class TimedOutError(GorsefallError):
-    """The request's time passed after it was handed to a replica."""
+    """The request timed out after it was sent to a replica."""
     code = 'timed_out'
     status = 504
 
@@ -175,11 +177,11 @@
 
 
 class LogServiceError(GorsefallError):
-    """The platform's log service refused, failed or did not answer.
+    """The platform's log service refused or failed a call, or did not respond.
 
     Attributes:
-        not_run: Whether it says that it did nothing.
-        busy: Whether it did nothing for now: the same may be sent again.
+        not_run: Whether the service reported that it did not run the call.
+        busy: Whether the refusal is temporary, so that the call may be retried.
     """
     code = 'log_service'
     status = 503
@@ -191,13 +193,13 @@
 
 
 class StaleVersionError(GorsefallError):
-    """A catalogue change was based on a version that is no longer current."""
+    """A catalogue change conflicts with changes since its base version."""
     code = 'stale_version'
     status = 409
 
 
 class BenchError(GorsefallError):
-    """A bench scenario is missing or malformed."""
+    """A benchmark scenario is missing or malformed."""
     code = 'bad_scenario'
 
 
@@ -207,21 +209,21 @@
 
 
 class UnknownRequestError(GorsefallError):
-    """No log line has the request's id."""
+    """No log line has the given request ID."""
     code = 'unknown_request'
 
 
 class CatalogueError(GorsefallError):
-    """A catalogue document fails its checks."""
+    """A catalogue document is invalid."""
     code = 'bad_catalogue'
     status = 400
 
 
 class InProgressError(GorsefallError):
-    """Another request with this idempotency key is being run.
+    """Another request with the same idempotency key is in progress.
 
     Attributes:
-        retry_after: Seconds after which the caller may ask again.
+        retry_after: Delay after which the caller may retry, s.
     """
     code = 'in_progress'
     status = 409
@@ -229,21 +231,25 @@
 
 
 class KeyReusedError(GorsefallError):
-    """The idempotency key was used before for a different request."""
+    """The idempotency key was already used for a different request."""
     code = 'key_reused'
     status = 422
 
 
 class DuplicateRequestError(GorsefallError):
-    """The key's request has been answered before; carries that answer.
+    """A request with the same idempotency key has completed before.
+
+    Carries the response of that request.
 
     Attributes:
-        status: HTTP status of the answer.
-        reply: The answer's JSON, or None when it was too large to keep.
+        status: HTTP status of the stored response; 409 if it was not stored.
+        reply: JSON body of the response, or None if it was too large to
+            store.
     """
     code = 'duplicate'
 
     def __init__(self, status, reply):
-        super().__init__('ran before; its answer was too large to keep')
+        super().__init__(
+            'the request was run before; its response was too large to store')
         self.status = status if reply is not None else 409
         self.reply = reply
--- a/gorsefall/serving.py
+++ b/gorsefall/serving.py
@@ -1,8 +1,8 @@
-"""What every request goes through on any wire, up to its one final answer.
+"""The life cycle of one request, common to all wire protocols.
 
-A wire gives how a replica is found and spoken to and how the caller is told;
-whether the request may be sent again, and what may be said of it, is decided
-here.
+A subclass implements the protocol: it finds a replica, sends the request and
+writes the response to the caller. This module decides whether a request may
+be sent again after a failure, and which error the caller gets.
 """
 
 import time
@@ -12,13 +12,13 @@
 
 
 class ActiveRequest:
-    """One request of a caller; owns its answer.
+    """One request of a caller, from its arrival to its final response.
 
     Attributes:
-        done: Whether it has its final answer, or its caller left.
+        done: Whether it has its final response, or its caller left.
         attempts: The ``attempts.Attempts`` made for it.
-        arrived: When it came, s (monotonic).
-        first_at: When the first of its answer came, s; None before.
+        arrived_at: Arrival time, s (monotonic).
+        first_byte_at: When the response began, s (monotonic); None before.
         log: Logger bound to the request.
     """
 
@@ -29,55 +29,64 @@
         self.first_byte_at = None
         self.log = log
 
-    # -- what a wire gives -----------------------------------------------------
+    # -- implemented by subclasses ---------------------------------------------
 
     @property
     def terms(self):
-        """The ``attempts.RetryTerms`` on which it may be sent again."""
+        """The ``attempts.RetryTerms`` of the request."""
         raise NotImplementedError
 
     def send_next(self):
-        """Sends it to the best replica that was not tried.
+        """Sends the request to the best replica not tried yet.
 
         Raises:
-            errors.GorsefallError: It cannot be sent, and what is to be said.
+            errors.GorsefallError: No attempt is possible; the error describes
+                why.
         """
         raise NotImplementedError
 
     def claim_retry(self):
-        """Whether there is a replica, and a retry, to spare; takes it."""
+        """Takes a retry from the budget; returns False if none is available.
+
+        Also returns False if no other replica can take the request.
+        """
         return True
 
     def discard_response(self):
-        """Forgets what came of the answer of a run that ended."""
+        """Drops what the failed attempt has delivered of its response."""
 
     def send_error(self, exc):
-        """Gives the caller the final answer ``exc``; returns the outcome."""
+        """Sends ``exc`` to the caller as final response; returns the outcome.
+
+        The outcome is the one-word result that logs and metrics show.
+        """
         raise NotImplementedError
 
     def record_end(self, outcome, exc):
-        """Counts, logs and gives back what it held; called once."""
+        """Logs and counts the outcome and releases resources; called once."""
         raise NotImplementedError
 
-    # -- sending it again ------------------------------------------------------
+    # -- retries ---------------------------------------------------------------
 
     def dispatch(self):
-        """Sends it on its way, or gives it up."""
+        """Sends the request to a replica, or fails it with an error."""
         if self.done:
             return
         try:
             if self.attempts.forbids_rerun(self.terms):
-                # Whatever led here, a run that may have begun is not begun
-                # anew.
+                # An earlier attempt may have run the request, and it must not
+                # run twice. Checked here so that it holds for every caller of
+                # this method.
                 raise self.attempts.outcome_unknown_error(
                     'it may not be repeated')
             self.send_next()
         except errors.GorsefallError as exc:
-            # Whatever forbids a further send, an earlier one may have run.
+            # No replica can be tried now, but an earlier attempt may have run
+            # the request; the error must not claim otherwise.
             self.fail(self.attempts.reportable_error(exc, str(exc), self.terms))
 
     def retry(self, reason):
-        """Sends it once more where that is safe; returns whether it is."""
+        """Sends the request again if that is safe; returns whether it was."""
         if not (self.attempts.may_retry(self.terms) and self.claim_retry()):
             return False
         self.log.info('retry', reason=reason)
@@ -85,24 +94,24 @@
         return True
 
     def retry_or_fail(self, exc, reason):
-        """Sends it once more where that is safe, or ends it with ``exc``."""
+        """Sends the request again if that is safe, else fails it."""
         if not self.retry(reason):
             self.fail(self.attempts.reportable_error(exc, reason, self.terms))
 
     def restart(self):
-        """Begins anew at another replica."""
+        """Starts over at another replica."""
         self.discard_response()
         self.dispatch()
 
-    # -- endings ---------------------------------------------------------------
+    # -- completion ------------------------------------------------------------
 
     def fail(self, exc):
-        """Gives the caller its final answer ``exc`` now."""
+        """Ends the request with ``exc`` as its final response."""
         if not self.done:
             self.close(self.send_error(exc), exc)
 
     def close(self, outcome, exc=None):
-        """Ends it; later calls do nothing."""
+        """Ends the request; later calls do nothing."""
         if self.done:
             return
         self.done = True
