--- a/gorsefall/digests.py
+++ b/gorsefall/digests.py
@@ -1,7 +1,7 @@
-"""Digests by which two sends of the same request are known to be the same.
+"""Digests that identify repeated requests.
 
-Two requests are the same if caller, target and body are. The id of an attempt
-does not matter, as each further try of a caller has another.
+Two requests have the same digest if caller, target and body are equal. The
+request ID is not part of it, as a caller's retry has a new ID.
 """
 
 import hashlib
@@ -12,52 +12,52 @@
 DIGEST_BYTES = 16
 
 LOGGED_DIGEST_BYTES = 6
-"""Bytes of a digest in log lines: enough to tell a day's requests apart."""
+"""Length of a digest in log lines; enough to distinguish a day's requests."""
 
 _SIZE = struct.Struct('>I')
 
 
 class Body:
-    """A request's body, digested as its pieces come.
+    """A request body, hashed as its parts arrive.
 
     Attributes:
-        data: What came so far, a bytearray.
+        data: The body received so far, a bytearray.
     """
 
     def __init__(self):
         self._hash = hashlib.blake2b(digest_size=DIGEST_BYTES)
         self.data = bytearray()
 
-    def add(self, piece):
-        """Takes in the next piece."""
-        self.data += piece
-        self._hash.update(piece)
+    def add(self, data):
+        """Appends the next part of the body."""
+        self.data += data
+        self._hash.update(data)
 
     @property
     def digest(self):
-        """Digest of what came so far, bytes."""
+        """Digest of the body received so far, bytes."""
         return self._hash.digest()
 
 
 def request_digest(key, caller, target, body_digest):
     """Returns the ``ids.RequestDigest`` of a request.
 
-    It is keyed, so that who knows no key cannot find out from a log line
-    whether a guessed prompt is the one that was sent.
+    The digest is keyed, so that a reader of the logs without the key cannot
+    verify a guess of what a request contained.
 
     Args:
-        key: Bytes that all entries share, 64 at most.
+        key: Key shared by all entries, at most 64 bytes.
         caller: Name of the client account; '' on public routes.
         target: Path and query, bytes.
         body_digest: ``Body.digest``.
     """
-    found = hashlib.blake2b(digest_size=DIGEST_BYTES, key=key)
+    digest = hashlib.blake2b(digest_size=DIGEST_BYTES, key=key)
     for part in (caller.encode(), target, body_digest):
-        found.update(_SIZE.pack(len(part)))
-        found.update(part)
-    return ids.RequestDigest(found.digest())
+        digest.update(_SIZE.pack(len(part)))
+        digest.update(part)
+    return ids.RequestDigest(digest.digest())
 
 
 def abbreviate(digest):
-    """Returns what log lines show of a digest."""
+    """Returns the abbreviated digest for log lines, as hex."""
     return digest[:LOGGED_DIGEST_BYTES].hex()
--- a/gorsefall/explain.py
+++ b/gorsefall/explain.py
@@ -1,4 +1,8 @@
-"""From a request's id to its cause: what was decided, and on what beliefs."""
+"""Explains from the logs why a request ended as it did.
+
+The explanation lists the state that the entry observed when the request
+arrived, the decisions about the request, and the cause of its outcome.
+"""
 
 import functools
 
@@ -7,89 +11,90 @@
 
 _CAUSES = {
     'no_catalogue':
-        'the entry had not read any configuration yet, so it could not know '
-        'what is allowed',
+        'the entry had not read any configuration yet, so it could not decide '
+        'whether the request is allowed',
     'unproven':
-        'the entry could not confirm its configuration within the bound on '
-        'revoked keys, so the key might have been revoked',
+        'the entry could not confirm its configuration within the time limit '
+        'for revoked keys, so the key might have been revoked',
     'crashes_replicas':
-        'replicas ended again and again as they ran the same request (caller, '
+        'replicas repeatedly crashed while running the same request (caller, '
         'path and body), so it was not sent',
     'no_replica':
-        'no replica of the service was left that might take it',
+        'no replica of the service was available for it',
     'replica_refused':
-        'the replica had no room for it or was not the one it was meant for',
+        'the replica had no capacity for it, or was not the replica that the '
+        'entry had addressed',
     'shed':
-        'the service had more work than it could finish in time, and more '
-        'valuable work goes first',
+        'the service had more work than it could finish in time, and requests '
+        'of higher value go first',
     'deadline':
-        'its time was up before it could be sent',
+        'its deadline passed before it could be sent',
     'draining':
         'the entry was shutting down',
     'unknown_key':
-        'the configuration in force does not hold its key',
+        'the active configuration does not contain its API key',
     'no_route':
-        'the configuration in force has no route for its host and path',
+        'the active configuration has no route for its host and path',
     'outcome_unknown':
-        'a replica may have run it and its answer is lost; its kind forbids '
-        'another run, or no attempt was left',
+        'a replica may have run it and its response is lost; either it must '
+        'not run twice, or no attempt was left',
     'timed_out':
-        'a replica had it and gave no whole answer in time',
+        'a replica received it but did not complete the response in time',
 }
-"""Error codes of final answers, in words."""
+"""``error code -> cause``."""
 
 _SENTENCES = {
     loglines.NotRun:
-        '{0.replica} says it did not run it ({0.status})',
+        '{0.replica} reported that it did not run the request ({0.status})',
     loglines.Retry:
-        'sent once more: {0.reason}',
+        'sent again: {0.reason}',
     loglines.Restored:
-        '{0.gone} is gone; the stream goes on at {0.replica} after event '
+        '{0.gone} is gone; the stream continues at {0.replica} after event '
         '{0.after}',
     loglines.Parked:
-        'it waits while another run of the same request shows whether that '
-        'one crashes its replica',
+        'waiting for another run of the same request, which shows whether the '
+        'request crashes replicas',
     loglines.Configuration:
-        'configuration {0.version} came into force',
+        'configuration {0.version} became active',
     loglines.ProofLost:
-        'the configuration was last confirmed {0.age_s:.2f} s before',
+        'the configuration was last confirmed {0.age_s:.2f} s earlier',
     loglines.ProofRegained:
         'the configuration was confirmed again',
     loglines.StoreLost:
-        'the store stopped answering for {0.topic} ({0.error})',
+        'the store stopped responding for {0.topic} ({0.error})',
     loglines.StoreRegained:
-        'the store answered again for {0.topic}',
+        'the store responded again for {0.topic}',
     loglines.ReplicaSeen:
-        '{0.replica} was seen {0.status}',
+        '{0.replica} was reported as {0.status}',
     loglines.ReplicaDoubtful:
-        'the record of {0.replica} lapsed beside a store outage',
+        'the record of {0.replica} expired during a store outage',
     loglines.ReplicaGone:
-        '{0.replica} got no more work ({0.reason})',
+        '{0.replica} received no more requests ({0.reason})',
     loglines.Started:
         'the process started',
     loglines.Stopping:
-        'the process was told to stop',
+        'the process received a signal to stop',
     loglines.Stopped:
-        'the process ended by itself',
+        'the process exited normally',
 }
-"""What events say whose sentence is always built alike."""
+"""``event type -> format string``, for events without a function below."""
 
 _OUTCOMES = {
     'served': 'it was served',
-    'replica_failed': "the replica's own error was passed on",
+    'replica_failed': "the replica's own error was forwarded",
 }
 
 
 def _confirmed(event):
     if event.proof_age_s is None:
-        return 'no configuration was confirmed yet'
+        return 'no configuration had been confirmed yet'
     return (f'configuration {event.version}, confirmed '
-            f'{event.proof_age_s:.2f} s before')
+            f'{event.proof_age_s:.2f} s earlier')
 
 
 @functools.singledispatch
 def describe(event):
-    """Returns a sentence for a ``loglines.Event``."""
+    """Returns a sentence that describes a ``loglines.Event``."""
     return _SENTENCES.get(type(event), type(event).__name__).format(event)
 
 
@@ -98,14 +103,15 @@
     return (f'attempt {event.attempt}: sent to {event.replica} of '
             f'{event.service or "its service"}, priority {event.priority}; '
             f'{event.outstanding} requests of this entry and about '
-            f'{event.others:.0f} of others were there; '
+            f'{event.others:.0f} of other entries were in flight there; '
             f'{_confirmed(event)}')
 
 
 @describe.register
 def _(event: loglines.AttemptFailed):
-    reached = 'may have it' if event.sent else 'was never reached'
-    return (f'{event.replica} gave no whole answer after '
+    reached = ('may have received the request'
+               if event.sent else 'did not receive the request')
+    return (f'{event.replica} did not complete the response within '
             f'{event.after_ms:.0f} ms ({event.reason}); it {reached}')
 
 
@@ -116,12 +122,15 @@
     last = f', last event {event.last_event}' if event.last_event else ''
     why = f': {event.error}' if event.error else ''
     back = ('' if event.retry_after_s is None else
-            f'; told to return after {event.retry_after_s:.2f} s')
+            f'; asked to retry after {event.retry_after_s:.2f} s')
     return f'{event.outcome}{route}{took}{last}{why}{back}'
 
 
 def _subject(event):
-    """What a belief is about; a later line of the same replaces it."""
+    """Returns what an ``ObservedState`` is about.
+
+    A later line about the same subject replaces an earlier one.
+    """
     if isinstance(event, loglines.Configuration):
         return 'configuration'
     if isinstance(event, loglines.ProofLost | loglines.ProofRegained):
@@ -135,8 +144,8 @@
     return 'process'
 
 
-def _beliefs(lines, own):
-    """Returns the lines in force at the process when the request came."""
+def _observed_state(lines, own):
+    """Returns the ``ObservedState`` lines in effect at a request's arrival."""
     replicas = set()
     for line in own:
         if isinstance(line.event, loglines.Answered):
@@ -162,56 +171,58 @@
 
 
 def cause(lines, own):
-    """Returns in one sentence why a request ended as it did.
+    """Returns a sentence on why a request ended as it did.
 
     Args:
         lines: All ``loglines.Line`` objects.
-        own: Those of the request, not empty.
+        own: The lines of the request; not empty.
     """
     last = own[-1].event
     if not isinstance(last, loglines.Answered):
-        return _no_end(lines, own[-1])
+        return _missing_end(lines, own[-1])
     if last.outcome == 'broken_off':
-        return ('its answer had begun and could not go on: '
-                f'{_CAUSES.get(last.code, last.code)}{_trouble(own)}')
+        return ('its response had begun and could not be completed: '
+                f'{_CAUSES.get(last.code, last.code)}{_failures(own)}')
     if last.outcome == 'caller_left':
-        return f'the caller left {_progress(own)}{_trouble(own)}'
+        return f'the caller left {_progress(own)}{_failures(own)}'
     known = _OUTCOMES.get(last.outcome) or _CAUSES.get(last.code)
-    return f'{known or last.error or last.outcome}{_trouble(own)}'
+    return f'{known or last.error or last.outcome}{_failures(own)}'
 
 
 def _progress(own):
-    """Returns how far a request had come when its caller left."""
+    """Returns how far a request had got when its caller left."""
     last = own[-1].event
     if last.first_ms is not None:
-        return (f'in the middle of an answer that had begun after '
+        return (f'in the middle of a response that had begun after '
                 f'{last.first_ms:.0f} ms')
-    sends = [ln.event for ln in own if isinstance(ln.event, loglines.Sent)]
-    if not sends:
+    sent = [ln.event for ln in own if isinstance(ln.event, loglines.Sent)]
+    if not sent:
         return 'before it was sent to any replica'
-    return (f'before its answer began; it waited at {sends[-1].replica}, '
-            f'where {sends[-1].outstanding} requests of this entry and about '
-            f'{sends[-1].others:.0f} of others were before it')
+    return (f'before its response began; it waited at {sent[-1].replica}, '
+            f'behind {sent[-1].outstanding} requests of this entry and about '
+            f'{sent[-1].others:.0f} of other entries')
 
 
-def _trouble(own):
-    """Returns what replicas did to the request, for the end of a sentence."""
-    told = [
+def _failures(own):
+    """Returns the failed attempts in parentheses, or an empty string."""
+    failures = [
         describe(line.event)
         for line in own
         if isinstance(line.event, loglines.AttemptFailed | loglines.NotRun)
     ]
-    return f' ({"; ".join(told)})' if told else ''
+    return f' ({"; ".join(failures)})' if failures else ''
 
 
-def _no_end(lines, last):
+def _missing_end(lines, last):
+    """Returns why the logs contain no final response of a request."""
     after = lines[lines.index(last) + 1:]
     for line in after:
         if line.process == last.process and isinstance(line.event,
                                                        loglines.Started):
-            return ('its process ended without a word (killed, or its VM lost '
-                    f'power) and started again at {line.at_s:.3f} s')
-    return 'no final answer is logged: it still ran at the end of the logs'
+            return ('its process exited without logging it (killed, or its VM '
+                    f'lost power) and started again at {line.at_s:.3f} s')
+    return ('no final response is logged: it was still in progress at the end '
+            'of the logs')
 
 
 def explain(log, request):
@@ -219,12 +230,12 @@
 
     Args:
         log: A ``loglines.Log``.
-        request: The request's id.
+        request: Request ID.
 
     Raises:
-        errors.UnknownRequestError: No line has this id.
+        errors.UnknownRequestError: No line has this ID.
     """
-    # Each process's lines keep their order: its clock may be set back.
+    # Lines are not sorted by time, as a process's clock may be set back.
     own = [
         line for line in log.lines
         if isinstance(line.event, loglines.RequestEvent) and
@@ -232,15 +243,17 @@
     ]
     if not own:
         raise errors.UnknownRequestError(
-            f'{request}: no line of this request in {len(log.lines)} lines; '
-            'it never reached these entries, or its lines were left out')
-    out = [f'request {request} at {own[0].process}', '', 'believed then:']
-    out += _told(_beliefs(log.lines, own)) or ['  nothing yet']
-    out += ['', 'decided:', *_told(own), '', f'cause: {cause(log.lines, own)}']
+            f'{request}: none of {len(log.lines)} lines is of this request; it '
+            'never reached these entries, or its lines were dropped')
+    out = [f'request {request} at {own[0].process}', '', 'observed state:']
+    out += _format(_observed_state(log.lines, own)) or ['  nothing yet']
+    out += [
+        '', 'decisions:', *_format(own), '', f'cause: {cause(log.lines, own)}'
+    ]
     if log.malformed:
-        out += ['', f'{log.malformed} spoilt lines were passed over']
+        out += ['', f'{log.malformed} malformed lines were skipped']
     return '\n'.join(out)
 
 
-def _told(lines):
+def _format(lines):
     return [f'  {line.at_s:.4f}  {describe(line.event)}' for line in lines]
--- a/gorsefall/loglines.py
+++ b/gorsefall/loglines.py
@@ -1,4 +1,4 @@
-"""Log lines of relay entries, decoded into typed events."""
+"""Decodes the JSON log lines of relay entries into typed events."""
 
 import dataclasses
 import datetime
@@ -11,14 +11,14 @@
 from gorsefall import ids
 
 _PREFIX = re.compile(r'\s*(?:(-?\d+(?:\.\d+)?)\s+)?(\S+)\s+')
-"""What a collector may put before a line: a time, s, and the VM's name."""
+"""Optional prefix added by a log collector: a time, s, and the VM name."""
 
 
 class Event(msgspec.Struct, tag_field='event', kw_only=True):
     """One log line.
 
     Attributes:
-        timestamp: Time of day at the process, ISO 8601.
+        timestamp: Wall-clock time of the process, ISO 8601.
     """
     timestamp: str = ''
 
@@ -27,7 +27,7 @@
     """A line about one request.
 
     Attributes:
-        rid: The request's id.
+        rid: Request ID.
     """
     rid: ids.RequestId
 
@@ -49,7 +49,7 @@
 
 
 class AttemptFailed(RequestEvent, tag='attempt_failed'):
-    """A send ended without a whole answer."""
+    """An attempt ended without a complete response."""
     replica: str
     reason: str
     sent: bool
@@ -57,30 +57,30 @@
 
 
 class NotRun(RequestEvent, tag='not_run'):
-    """The replica said that it did not run the request."""
+    """The replica reported that it did not run the request."""
     replica: str
     status: int
 
 
 class Retry(RequestEvent, tag='retry'):
-    """The request is sent once more."""
+    """The request is sent again."""
     reason: str
 
 
 class Parked(RequestEvent, tag='parked'):
-    """The request waits for another run of the same request to end."""
+    """The request waits until another run of the same request ends."""
     digest: str = ''
 
 
 class Restored(RequestEvent, tag='restored'):
-    """A stream goes on from a copy of its run."""
+    """A stream continues at another replica, from a KV backup."""
     gone: str
     replica: str
     after: str
 
 
 class Answered(RequestEvent, tag='answered'):
-    """The final answer."""
+    """The final response was sent, or the caller left."""
     outcome: str
     code: str | None = None
     error: str | None = None
@@ -100,17 +100,17 @@
 
 
 class ObservedState(Event):
-    """A line about what a process believes or whether it runs."""
+    """A change of the state that a process observes, or of its own state."""
 
 
 class Configuration(ObservedState, tag='configuration'):
-    """A configuration is in force."""
+    """A configuration became active."""
     version: int
     before: int | None = None
 
 
 class ProofLost(ObservedState, tag='proof_lost'):
-    """The configuration was not confirmed lately."""
+    """The last confirmation of the configuration is too old."""
     age_s: float
 
 
@@ -120,29 +120,29 @@
 
 
 class StoreLost(ObservedState, tag='store_lost'):
-    """The store does not answer."""
+    """The store does not respond."""
     topic: str
     error: str
 
 
 class StoreRegained(ObservedState, tag='store_regained'):
-    """The store answers again."""
+    """The store responds again."""
     topic: str
 
 
 class ReplicaSeen(ObservedState, tag='replica_seen'):
-    """A replica's record is new or its status changed."""
+    """A replica has a new record, or its status changed."""
     replica: str
     status: str
 
 
 class ReplicaDoubtful(ObservedState, tag='replica_doubtful'):
-    """A replica's record lapsed beside a store outage."""
+    """A replica's record expired during a store outage."""
     replica: str
 
 
 class ReplicaGone(ObservedState, tag='replica_gone'):
-    """A replica gets no more work."""
+    """A replica receives no more requests."""
     replica: str
     reason: str
 
@@ -152,27 +152,27 @@
 
 
 class Stopping(ObservedState, tag='stopping'):
-    """The process was told to stop."""
+    """The process received a signal to stop."""
 
 
 class Stopped(ObservedState, tag='stopped'):
-    """The process ended by itself."""
+    """The process exited normally."""
 
 
-_KNOWN = (Sent | AttemptFailed | NotRun | Retry | Parked | Restored | Answered |
-          Configuration | ProofLost | ProofRegained | StoreLost |
-          StoreRegained | ReplicaSeen | ReplicaDoubtful | ReplicaGone |
-          Started | Stopping | Stopped)
-_decoder = msgspec.json.Decoder(_KNOWN)
+_EventType = (Sent | AttemptFailed | NotRun | Retry | Parked | Restored |
+              Answered | Configuration | ProofLost | ProofRegained | StoreLost |
+              StoreRegained | ReplicaSeen | ReplicaDoubtful | ReplicaGone |
+              Started | Stopping | Stopped)
+_decoder = msgspec.json.Decoder(_EventType)
 
 
 @dataclasses.dataclass(frozen=True)
 class Line:
-    """One decoded line and where it comes from.
+    """One decoded line and its origin.
 
     Attributes:
-        process: The VM's name before the line, else the file's name.
-        at_s: The collector's time, s, else the process's time of day, s.
+        process: VM name from the collector's prefix, else the file name.
+        at_s: Time from the collector's prefix, else the timestamp, s (epoch).
         event: The ``Event``.
     """
     process: str
@@ -182,17 +182,18 @@
 
 @dataclasses.dataclass
 class Log:
-    """The lines of some files.
+    """The decoded lines of a set of files.
 
     Attributes:
-        lines: ``Line`` objects in the order of each file.
-        spoilt: How many lines look like log lines but cannot be read.
+        lines: ``Line`` objects; those of one file are in file order.
+        malformed: Number of lines that look like log lines but cannot be
+            decoded.
     """
     lines: list
     malformed: int = 0
 
 
-def _seconds(timestamp):
+def _epoch_s(timestamp):
     try:
         return datetime.datetime.fromisoformat(timestamp).timestamp()
     except ValueError:
@@ -203,7 +204,7 @@
     start = text.index('{')
     prefix = _PREFIX.fullmatch(text[:start])
     event = _decoder.decode(text[start:])
-    at_s = _seconds(event.timestamp)
+    at_s = _epoch_s(event.timestamp)
     if prefix:
         process = prefix[2]
         if prefix[1]:
@@ -211,8 +212,8 @@
     return Line(process, at_s, event)
 
 
-def _unread(text):
-    """Whether a line that is none of the known events is spoilt."""
+def _is_malformed(text):
+    """Returns whether a line that is not a known event is malformed."""
     try:
         return not isinstance(msgspec.json.decode(text[text.index('{'):]), dict)
     except msgspec.DecodeError:
@@ -222,8 +223,8 @@
 def read_files(paths):
     """Reads log files into a ``Log``.
 
-    Lines without an object are not log lines and are passed over, as are
-    events that tell nothing of a request. What is cut or garbled is counted.
+    Lines that contain no JSON object and events of other kinds are skipped.
+    Truncated or garbled lines are counted as malformed.
 
     Raises:
         errors.LogFileError: A file cannot be read.
@@ -240,5 +241,5 @@
             try:
                 log.lines.append(_decode(row, path.stem))
             except msgspec.DecodeError:
-                log.malformed += _unread(row)
+                log.malformed += _is_malformed(row)
     return log
--- a/tests/test_digests.py
+++ b/tests/test_digests.py
@@ -1,4 +1,4 @@
-"""Digests of requests: what is the same, and what tells two apart."""
+"""Request digests: equal for equal requests only."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -18,12 +18,15 @@
 
 @given(st.binary(max_size=64), _PARTS, _PARTS)
 def test_only_the_same_request_has_the_same_digest(key, one, other):
-    """A good request blamed for another: bytes that moved between parts."""
+    """Moving bytes between the parts must change the digest.
+
+    Otherwise a good request would be blocked for the crashes of another one.
+    """
     assert (_digest(key, one) == _digest(key, other)) == (one == other)
 
 
 @given(st.lists(st.binary(max_size=9)))
-def test_a_body_is_digested_however_its_pieces_come(pieces):
+def test_the_digest_does_not_depend_on_how_the_body_is_split(pieces):
     body = digests.Body()
     for piece in pieces:
         body.add(piece)
@@ -33,6 +36,6 @@
 
 
 def test_another_key_gives_another_digest():
-    """A prompt found out by a guess from a log line."""
+    """Without the key, a log line must not confirm a guessed prompt."""
     parts = ('gate', b'/i/x', b'body')
     assert _digest(b'a', parts) != _digest(b'b', parts)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,7 +1,7 @@
-"""From a request's id to its cause, on lines recorded on two days of trouble.
+"""Explanations of failed requests, from logs of two days with faults.
 
-Each request below was not served. What is asserted is what an engineer on
-call needs to read: why, at which replica, and what the entry believed.
+None of the requests below was served. The tests assert what an engineer on
+call needs: the cause, the replica, and the state that the entry observed.
 """
 
 import pathlib
@@ -19,37 +19,40 @@
 
 @pytest.mark.parametrize('request_id, words', [
     ('4e631821750f597b', 'had not read any configuration yet'),
-    ('918f8d68849c97b3', 'may have run it and its answer is lost'),
-    ('02db06bd1672b18a', 'its answer had begun and could not go on'),
-    ('89369c96b007f33d', 'its process ended without a word'),
+    ('918f8d68849c97b3', 'may have run it and its response is lost'),
+    ('02db06bd1672b18a', 'its response had begun and could not be completed'),
+    ('89369c96b007f33d', 'its process exited without logging it'),
     ('de2c19be0f9e7592', 'could not confirm its configuration'),
-    ('073dc9dc033bfe6f', 'the replica had no room for it'),
-    ('b89ffb9f3c8fd9b7', 'the caller left before its answer began'),
-    ('87fad52093d31612', 'the caller left in the middle of an answer'),
-    ('62be38b5b605a633', 'does not hold its key'),
-    ('2af1ac651a576002', 'gave no whole answer in time'),
-    ('f0dd6fc94b28cdf5', "the replica's own error was passed on"),
+    ('073dc9dc033bfe6f', 'the replica had no capacity for it'),
+    ('b89ffb9f3c8fd9b7', 'the caller left before its response began'),
+    ('87fad52093d31612', 'the caller left in the middle of a response'),
+    ('62be38b5b605a633', 'does not contain its API key'),
+    ('2af1ac651a576002', 'did not complete the response in time'),
+    ('f0dd6fc94b28cdf5', "the replica's own error was forwarded"),
 ])
 def test_each_way_to_fail_has_its_cause(request_id, words):
     text = explain.explain(loglines.read_files(DAYS), request_id)
     assert words in text.split('cause: ')[1], text
 
 
-def test_the_replica_at_fault_is_named():
+def test_the_failed_replica_is_named():
     log = loglines.read_files(DAYS)
-    sends = [
+    replicas = [
         ln.event.replica
         for ln in log.lines
         if isinstance(ln.event, loglines.Sent) and
         ln.event.rid == '918f8d68849c97b3'
     ]
     text = explain.explain(log, '918f8d68849c97b3')
-    assert sends[-1] in text.split('cause: ')[1]
+    assert replicas[-1] in text.split('cause: ')[1]
 
 
-def test_beliefs_are_those_of_the_same_process_since_its_start(tmp_path):
-    """Symptom: a cause names a belief of another entry, or of an earlier run
-    of the same one. Cause: lines of all processes read as one."""
+def test_observed_state_is_of_the_same_process_since_its_start(tmp_path):
+    """Lines of other processes must not be mixed in.
+
+    Otherwise the explanation shows the state of another entry, or of an
+    earlier process of the same entry.
+    """
     (tmp_path / 'a.log').write_text(
         '{"event": "configuration", "version": 1}\n'
         '{"event": "started"}\n'
@@ -59,19 +62,22 @@
     (tmp_path / 'b.log').write_text('{"event": "configuration", "version": 9}')
     text = explain.explain(
         loglines.read_files([tmp_path / 'b.log', tmp_path / 'a.log']), 'r1')
-    assert 'configuration 7 came into force' in text
+    assert 'configuration 7 became active' in text
     assert 'configuration 1 ' not in text
     assert 'configuration 9 ' not in text
 
 
-def test_an_entry_that_knows_nothing_yet_writes_lines_that_can_be_read():
-    """Symptom: 39 lines of refusals just after a restart could not be decoded.
-    Cause: the age of a proof that never came was written as Infinity."""
+def test_log_lines_before_the_first_confirmation_are_valid_json():
+    """The age of a missing confirmation must not be logged as Infinity.
+
+    JSON has no Infinity, so lines of requests refused just after a restart
+    could not be decoded.
+    """
     from gorsefall.policy import freshness
     assert freshness.Confirmation(5.0).logged_age_s() is None
 
 
-def test_spoilt_lines_are_counted_and_passed_over(tmp_path):
+def test_malformed_lines_are_counted_and_skipped(tmp_path):
     path = tmp_path / 'a.log'
     path.write_text('{"event": "answered", "rid": "r1", "outcome": "serv\n'
                     'no log line\n'
@@ -79,10 +85,10 @@
                     '{"event": "answered", "rid": "r1", "outcome": "served"}\n')
     log = loglines.read_files([path])
     assert log.malformed == 1
-    assert '1 spoilt lines' in explain.explain(log, 'r1')
+    assert '1 malformed lines were skipped' in explain.explain(log, 'r1')
 
 
-def test_unknown_ids_and_missing_files_are_told(tmp_path, capsys):
+def test_unknown_ids_and_missing_files_are_reported(tmp_path, capsys):
     with pytest.raises(errors.UnknownRequestError):
         explain.explain(loglines.read_files(DAYS), 'nobody')
     assert cmdline.main(['explain', str(tmp_path / 'none.log'), 'r1']) == 2
@@ -90,9 +96,11 @@
     assert cmdline.main(['explain', 'r1']) == 2
 
 
-def test_a_line_without_a_prefix_is_not_taken_for_one(tmp_path):
-    """Symptom: lines of one file are told as those of several processes.
-    Cause: the start of a line with an object within was read as a name."""
+def test_the_start_of_a_json_line_is_not_taken_for_a_prefix(tmp_path):
+    """The text before a nested object must not be read as a process name.
+
+    Otherwise the lines of one file appear as lines of several processes.
+    """
     path = tmp_path / 'entry-a.log'
     path.write_text('{"extra": {"a": 1}, "event": "answered", "rid": "r1", '
                     '"outcome": "served"}\n')
