--- a/gorsefall/logs.py
+++ b/gorsefall/logs.py
@@ -1,4 +1,4 @@
-"""JSON-line logs through structlog."""
+"""Logging as JSON lines, through structlog."""
 
 import logging
 import os
@@ -9,29 +9,31 @@
 from gorsefall import metrics
 
 MAX_PENDING_BYTES = 1 << 20
-"""Log bytes that wait for a slow reader; more is left out and counted. A
-line has about 300 bytes, so this is some seconds of the busiest entry."""
+"""Buffer for a slow log reader; further lines are dropped and counted.
+
+A line has about 300 bytes, so the buffer holds a few seconds of the busiest
+entry."""
 
 
 class BoundedWriter:
-    """Writes lines to a descriptor without ever waiting for its reader.
+    """Writes lines to a file descriptor without ever blocking.
 
-    A reader of our output that stalls would otherwise stop the process with
-    the pipe full, and every request with it.
+    With blocking writes, a stalled reader of the log pipe would stop the
+    process, and every request with it, as soon as the pipe is full.
 
     Attributes:
-        dropped_lines: Lines that were left out.
+        dropped_lines: Lines dropped since the last one that was buffered.
     """
 
     def __init__(self, fd):
         self._fd = fd
-        self._waiting = bytearray()
+        self._pending = bytearray()
         self.dropped_lines = 0
         os.set_blocking(fd, False)
 
     def msg(self, line):
-        """Writes a line, or keeps or drops it when the reader is slow."""
-        if len(self._waiting) > MAX_PENDING_BYTES:
+        """Writes a line; buffers or drops it if the reader is slow."""
+        if len(self._pending) > MAX_PENDING_BYTES:
             self.dropped_lines += 1
             metrics.LOG_LINES_DROPPED.inc()
             self._flush()
@@ -39,24 +41,24 @@
         if self.dropped_lines:
             note = ('{"event": "log_left_out", '
                     f'"lines": {self.dropped_lines}}}\n')
-            self._waiting += note.encode()
+            self._pending += note.encode()
             self.dropped_lines = 0
-        self._waiting += line.encode() + b'\n'
+        self._pending += line.encode() + b'\n'
         self._flush()
 
     log = debug = info = warning = warn = error = critical = exception = msg
 
     def _flush(self):
         try:
-            while self._waiting:
-                n = os.write(self._fd, self._waiting)
-                del self._waiting[:n]
+            while self._pending:
+                n = os.write(self._fd, self._pending)
+                del self._pending[:n]
         except BlockingIOError:
-            # The rest goes out with a later line.
+            # The rest is written with a later line.
             pass
         except OSError:
-            # The reader is gone for good: nobody is left to tell.
-            self._waiting.clear()
+            # The reader has closed the pipe; there is nowhere to log to.
+            self._pending.clear()
 
 
 def _configure(level, factory):
@@ -76,12 +78,12 @@
 
 
 def setup(level='info'):
-    """Configures structlog to write one JSON object a line to stderr."""
+    """Configures structlog to write JSON lines to stderr."""
     _configure(level, structlog.PrintLoggerFactory(file=sys.stderr))
 
 
 def setup_nonblocking(fd, level='info'):
-    """Configures structlog to write JSON lines to ``fd``, never blocking."""
+    """Configures structlog to write JSON lines to ``fd`` without blocking."""
     writer = BoundedWriter(fd)
     _configure(level, lambda *args: writer)
 
--- a/gorsefall/metrics.py
+++ b/gorsefall/metrics.py
@@ -2,8 +2,8 @@
 
 import prometheus_client as prom
 
-# The times at which series were created double the page and tell nothing
-# that the start line of the log does not.
+# The *_created series double the size of the page; the start time of the
+# process is in its log.
 prom.disable_created_metrics()
 
 REGISTRY = prom.CollectorRegistry()
@@ -67,35 +67,37 @@
 
 MAX_ACCOUNT_ROUTES = 6000
 MAX_ROUTES = 100
-"""Label sets that are told apart, the rest is counted as ``OTHER``: 1,200
-client accounts with five classes each, and a few times the classes of today.
-A label set costs 1 KB as a counter and 9 KB with its histograms, and a page
-of the histograms of 2,000 pairs took 1.8 s to write, in which no request was
-served; hence histograms by route alone."""
+"""Maximum number of label sets; further ones are counted under ``OTHER``.
+
+``MAX_ACCOUNT_ROUTES`` allows 1,200 client accounts with five classes each;
+``MAX_ROUTES`` is a few times the number of classes in use. A label set
+takes 1 KB as a counter and 9 KB with its histograms. Rendering the histograms
+of 2,000 account and route pairs blocks the event loop for 1.8 s, so
+histograms have the route as their only label."""
 
 OTHER = 'other'
 
 
-class _Bounded:
-    """Lets at most ``most`` label sets through."""
+class _LabelLimiter:
+    """Limits the number of distinct label sets of a metric."""
 
-    def __init__(self, most, size):
-        self._most = most
-        self._other = (OTHER,) * size
-        self._known = set()
+    def __init__(self, max_sets, label_count):
+        self._max_sets = max_sets
+        self._other = (OTHER,) * label_count
+        self._sets = set()
 
     def __call__(self, *labels):
-        """Returns ``labels``, or those of the rest."""
-        if labels in self._known:
+        """Returns ``labels``, or ``OTHER`` for each if the limit is reached."""
+        if labels in self._sets:
             return labels
-        if len(self._known) >= self._most:
+        if len(self._sets) >= self._max_sets:
             return self._other
-        self._known.add(labels)
+        self._sets.add(labels)
         return labels
 
 
-_account_route = _Bounded(MAX_ACCOUNT_ROUTES, 2)
-_route_alone = _Bounded(MAX_ROUTES, 1)
+_account_route_labels = _LabelLimiter(MAX_ACCOUNT_ROUTES, 2)
+_route_labels = _LabelLimiter(MAX_ROUTES, 1)
 
 RELAYED = prom.Counter('gorsefall_relayed_total',
                        'Forwarded requests by outcome.',
@@ -144,13 +146,13 @@
 
 
 def count_relayed(account, route, outcome):
-    """Counts the end of a forwarded request."""
-    RELAYED.labels(*_account_route(account, route), outcome).inc()
+    """Counts a forwarded request that has ended."""
+    RELAYED.labels(*_account_route_labels(account, route), outcome).inc()
 
 
 def observe_relay_times(route, first_s, whole_s):
-    """Observes the times of a served request, s."""
-    labels = _route_alone(route)
+    """Records the latencies of a served request, s."""
+    labels = _route_labels(route)
     RELAY_FIRST_BYTE.labels(*labels).observe(first_s)
     RELAY_TOTAL.labels(*labels).observe(whole_s)
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs never block the process and say what they left out."""
+"""Logging never blocks the process, and dropped lines are reported."""
 
 import json
 import os
@@ -6,11 +6,11 @@
 from gorsefall import logs
 
 
-def test_a_reader_that_stalls_blocks_nothing():
-    """Process that stands still.
+def test_a_stalled_reader_does_not_block():
+    """A log reader that stops reading must not stop the process.
 
-    Symptom: every request of an entry hangs at once. Sequence: whoever reads
-    its output stops reading, the pipe fills. Cause: a blocking write.
+    With a blocking write to the full pipe, all requests of the entry would
+    hang at once.
     """
     recv, send = os.pipe()
     writer = logs.BoundedWriter(send)
@@ -34,8 +34,8 @@
         writer.msg(line)
     drain()
     lines = [json.loads(ln) for ln in got.splitlines()]
-    left_out = [ln for ln in lines if ln['event'] == 'log_left_out']
-    assert left_out and left_out[0]['lines'] > 1000
+    dropped = [ln for ln in lines if ln['event'] == 'log_left_out']
+    assert dropped and dropped[0]['lines'] > 1000
     assert lines[-1]['event'].startswith('x')
     os.close(recv)
     writer.msg(line)
