--- a/gorsefall/catalogue.py
+++ b/gorsefall/catalogue.py
@@ -1,10 +1,10 @@
-"""The catalogue: classes of requests, their owners and limits, versioned.
+"""The versioned catalogue of request classes, their owners and limits.
 
-Every entry reads the same stream in offset order and applies one rule, so
-all agree without a coordination service: a change names the version it was
-based on and is accepted only if nothing it touches changed since. That is
-optimistic concurrency control over an append-only log, as the Persist paper
-builds compare-and-set from sequence numbers.
+Every entry reads the same append-only stream in offset order and applies the
+same rule, so all entries agree without a coordination service. A change names
+the version it is based on, and is accepted only if none of its items has
+changed since that version. This is optimistic concurrency control over a log,
+as the Persist paper builds compare-and-set from sequence numbers.
 """
 
 import pathlib
@@ -16,8 +16,9 @@
 TIERS = range(1, 6)
 
 CONFLICT_WINDOW_VERSIONS = 200
-"""Changes based on a version older than this many are rejected unseen, so
-that readers need to know only the recent changes to agree on conflicts."""
+"""A change based on a version older than this is always rejected.
+
+Readers therefore need only the recent changes to agree on conflicts."""
 
 
 class Klass(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
@@ -28,9 +29,9 @@
         name: Class name, unique per owner.
         tier: 1 (highest) to 5.
         pool: Back-end pool that serves it.
-        ttft_ms: Latency target for the first token (or whole reply of a
-            plain service), ms.
-        e2e_ms: Latency target for the whole answer, ms.
+        ttft_ms: Latency target for the first token (or the complete response
+            of a plain service), ms.
+        e2e_ms: Latency target for the complete response, ms.
         rate_per_s: Requests per second across all entries.
         concurrency: Requests in flight across all entries.
         repeatable: False for calls that must run at most once.
@@ -47,12 +48,12 @@
 
     @property
     def key(self):
-        """``(owner, name)``, what a change touches."""
+        """``(owner, name)``, which identifies the class in a change."""
         return (self.owner, self.name)
 
 
 class Customer(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """Limits over all classes of one customer; optional.
+    """Optional limits over all classes of one customer.
 
     Attributes:
         name: Customer name, the ``owner`` of its classes.
@@ -65,16 +66,16 @@
 
     @property
     def key(self):
-        """``(name,)``, what a change touches."""
+        """``(name,)``, which identifies the customer in a change."""
         return (self.name,)
 
 
 class Document(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """A whole catalogue as operators write it (TOML).
+    """A complete catalogue as operators write it (TOML).
 
     Attributes:
-        version: The version the file was made from (``catalogue show``
-            writes it); a publish is based on it.
+        version: The version the file was created from (``catalogue show``
+            writes it); publishing the file is based on that version.
         classes: The ``[[classes]]`` tables.
         customers: The ``[[customers]]`` tables.
     """
@@ -88,15 +89,16 @@
 
 
 class Change(msgspec.Struct, kw_only=True, tag='change', tag_field='type'):
-    """A record proposing a change on top of version ``base``.
+    """A record that proposes a change on top of version ``base``.
 
     Attributes:
-        id: Unique id; a writer whose reply was lost looks for it.
-        base: Version the author saw.
+        id: Unique ID; a writer that lost the response to its append searches
+            for it.
+        base: Version that the change is based on.
         classes: Classes to add or replace.
         customers: Customers to add or replace.
         drop: Keys (lists of one or two names) to remove.
-        author: Who published it.
+        author: Name of the author.
     """
     id: str
     base: int
@@ -106,7 +108,7 @@
     author: str = ''
 
     def touched_keys(self):
-        """Returns the keys this change adds, replaces or removes."""
+        """Returns the keys that this change adds, replaces or removes."""
         keys = {item.key for item in (*self.customers, *self.classes)}
         return keys | {tuple(key) for key in self.drop}
 
@@ -114,16 +116,17 @@
 class Snapshot(msgspec.Struct, kw_only=True):
     """The state after applying every record up to offset ``as_of``.
 
-    Kept in a stream of its own, so that entries which follow the changes
-    never read it; readers that find the changes' start expired begin here.
+    Snapshots have their own stream, so that entries which follow the changes
+    don't read them. A reader whose next change has expired starts from the
+    newest snapshot.
 
     Attributes:
         version: Version at ``as_of``.
         as_of: Offset of the last record applied.
         doc: The document.
-        recent: ``[version, key...]`` of keys changed within the conflict
-            window; without it a restored reader would accept a conflicting
-            change that others reject.
+        recent: ``[version, key...]`` of the keys changed within the conflict
+            window. Without it a restored reader would accept a conflicting
+            change that other readers reject.
     """
     version: int
     as_of: int
@@ -132,11 +135,11 @@
 
 
 def validate(doc):
-    """Checks a document; returns it.
+    """Validates a document; returns it.
 
     Raises:
-        errors.CatalogueError: A value out of range or a name twice, naming
-            the item.
+        errors.CatalogueError: A value is out of range or a name is used
+            twice; the message names the item.
     """
     seen = set()
     for kind, items in (('classes', doc.classes), ('customers', doc.customers)):
@@ -145,16 +148,16 @@
             if not all(item.key):
                 raise errors.CatalogueError(f'{where}: empty name')
             if item.key in seen:
-                raise errors.CatalogueError(f'{where}: twice')
+                raise errors.CatalogueError(f'{where}: duplicate name')
             seen.add(item.key)
             if item.rate_per_s <= 0 or item.concurrency < 1:
                 raise errors.CatalogueError(
-                    f'{where}: rate_per_s must be over 0 and concurrency at '
-                    'least 1')
+                    f'{where}: rate_per_s must be greater than 0 and '
+                    'concurrency at least 1')
     for i, klass in enumerate(doc.classes):
         if klass.tier not in TIERS:
             raise errors.CatalogueError(
-                f'classes[{i}].tier: {klass.tier} not 1-5')
+                f'classes[{i}].tier: {klass.tier} is not in 1-5')
     return doc
 
 
@@ -162,7 +165,7 @@
     """Reads a catalogue TOML file into a ``Document``.
 
     Raises:
-        errors.CatalogueError: Unreadable or invalid file.
+        errors.CatalogueError: The file is unreadable or invalid.
     """
     try:
         text = pathlib.Path(path).read_text(encoding='utf-8')
@@ -172,10 +175,10 @@
 
 
 def parse_toml(text):
-    """Parses a catalogue file.
+    """Parses the text of a catalogue file into a ``Document``.
 
     Raises:
-        errors.CatalogueError: Bad TOML or failed checks.
+        errors.CatalogueError: The text is not TOML or not a valid catalogue.
     """
     try:
         return validate(msgspec.toml.decode(text.encode(), type=Document))
@@ -198,16 +201,17 @@
 
 
 class State:
-    """The catalogue as applied so far from one stream.
+    """The catalogue after the records applied so far from one stream.
 
     Attributes:
-        version: Accepted changes so far; 0 before the first.
+        version: Number of accepted changes; 0 before the first.
         offset: Next offset to read.
         doc: The current document.
-        accepted: Change ids accepted here, mapped to the version each made.
-        rejected: Change ids rejected here.
-        history: ``version -> Document`` of the newest ``keep`` versions;
-            publishers need them to see what a file changes, entries do not.
+        accepted: ``change ID -> version`` of the changes accepted here.
+        rejected: IDs of the changes rejected here.
+        history: ``version -> Document`` of the newest ``keep`` versions.
+            Publishers need them to find out what a file changes; entries
+            don't.
     """
 
     def __init__(self, keep=CONFLICT_WINDOW_VERSIONS):
@@ -234,12 +238,11 @@
         return self._items.keys()
 
     def apply(self, offset, data):
-        """Applies one record read at ``offset``; returns True if it changed.
+        """Applies the record at ``offset``; returns whether it was accepted.
 
         Records below the current offset are ignored, so replays and
-        duplicate deliveries change nothing and the version never goes back.
-        A record no reader can use (malformed, failing the checks) is
-        rejected by all alike.
+        duplicate deliveries change nothing and the version never decreases.
+        All readers reject a malformed or invalid record alike.
         """
         if offset < self.offset:
             return False
@@ -265,7 +268,8 @@
         touched = change.touched_keys()
         if any(self._changed_at.get(k, 0) > change.base for k in touched):
             return None
-        # Replaced items keep their place, so that a file stays readable.
+        # Replaced items keep their position, so that the file written by
+        # "catalogue show" stays in a stable order.
         items = dict(self._items)
         items |= {i.key: i for i in (*change.customers, *change.classes)}
         for key in change.drop:
@@ -289,10 +293,10 @@
                                 if v > self.version - CONFLICT_WINDOW_VERSIONS])
 
     def restore(self, snap):
-        """Starts over from ``snap``, unless that would go back.
+        """Replaces the state by ``snap``, unless ``snap`` is older.
 
         Returns:
-            True when the state changed.
+            True if the state changed.
         """
         if snap.as_of < self.offset or snap.version < self.version:
             return False
--- a/gorsefall/claims.py
+++ b/gorsefall/claims.py
@@ -1,10 +1,10 @@
-"""Claims of idempotency keys, agreed by reading one log stream in order.
+"""Claims of idempotency keys, decided by the order of one log stream.
 
-A request that must run at most once and bears a key is claimed before it is
-sent. The first claim of a key wins, for every reader alike, and is never
-taken over: an entry that was paused, or died, cannot be overtaken by one
-that runs the same key again. The offset of the winning claim is its fencing
-number.
+Before a request with an idempotency key is sent, its entry appends a claim to
+the stream. The first claim of a key wins for all readers alike. A claim is
+never transferred, so a key does not run twice when the entry that holds it is
+paused and resumes, or has crashed. The offset of the winning claim is its
+fencing token.
 """
 
 import dataclasses
@@ -17,7 +17,7 @@
 
 
 class RecordKind(enum.Enum):
-    """What a ledger record says."""
+    """Kind of a ledger record."""
     CLAIM = 'claim'
     RELEASE = 'release'
     DONE = 'done'
@@ -27,15 +27,16 @@
     """One record of the ledger stream.
 
     Attributes:
-        kind: A ``Kind``: the key is claimed; the claim is given back, as its
-            request was never sent; or its request was answered.
+        kind: ``CLAIM`` claims the key, ``RELEASE`` gives the claim up as its
+            request was never sent, ``DONE`` records the response.
         key: Idempotency key, scoped by customer.
-        rid: Request that claims.
+        rid: ID of the claiming request.
         entry: Entry that wrote the record.
         at: When it was written, s (epoch of the writer's clock).
-        digest: Digest of the request, to notice a key used for another.
-        status: HTTP status of the answer (``done``).
-        reply: The answer, or None when too large to keep (``done``).
+        digest: Digest of the request, to detect a key reused for another one.
+        status: HTTP status of the response (``DONE``).
+        reply: JSON body of the response, or None if it was too large to store
+            (``DONE``).
     """
     kind: RecordKind
     key: str
@@ -52,13 +53,13 @@
     """The winning claim of a key.
 
     Attributes:
-        fence: Offset of its record: the fencing number.
-        rid: Request that won.
-        at: When it was written, s (epoch of the writer's clock).
+        fence: Offset of the claim's record, used as fencing token.
+        rid: ID of the request that won.
+        written_at: When it was written, s (epoch of the writer's clock).
         digest: Digest of the request.
-        seen: When this reader met it, s (monotonic).
-        status: HTTP status of the answer; 0 while there is none.
-        reply: The answer, when kept.
+        seen_at: When this reader read it, s (monotonic).
+        status: HTTP status of the response; 0 while there is none.
+        reply: JSON body of the response, if stored.
     """
     fence: ids.Fence
     rid: ids.RequestId
@@ -70,19 +71,19 @@
 
 
 def call_digest(op, args):
-    """Returns a short digest of a call, the same for equal calls."""
+    """Returns a short digest of a call; equal calls have equal digests."""
     raw = msgspec.json.encode([op, args], order='deterministic')
     return xxhash.xxh64_hexdigest(raw)
 
 
 class State:
-    """The claims as applied so far.
+    """The claims after the records applied so far.
 
     Attributes:
-        claims: ``key -> Claim`` in force.
+        claims: ``key -> Claim`` in effect.
         offset: Next offset to read.
-        ttl_s: How long a key is remembered, s. Decided from the records'
-            own times, so that all readers forget a key at the same record.
+        ttl_s: Lifetime of a key, s. Compared with the times in the records,
+            so that a key expires at the same record for all readers.
     """
 
     def __init__(self, ttl_s):
@@ -92,34 +93,34 @@
         self._latest = 0.0
 
     def apply(self, offset, rec, now):
-        """Applies ``rec`` read at ``offset``; returns False on a replay.
+        """Applies the record at ``offset``; returns False on a replay.
 
         Args:
             offset: Offset of the record.
             rec: A ``Record``.
-            now: Time, s (monotonic), noted as when the claim was seen.
+            now: Time, s (monotonic), stored as ``Claim.seen_at``.
         """
         if offset < self.offset:
             return False
         self.offset = offset + 1
-        held = self.claims.get(rec.key)
+        claim = self.claims.get(rec.key)
         if rec.kind is RecordKind.CLAIM:
-            if held is None or rec.at - held.written_at > self.ttl_s:
+            if claim is None or rec.at - claim.written_at > self.ttl_s:
                 self.claims[rec.key] = Claim(offset, rec.rid, rec.at,
                                              rec.digest, now)
             self._latest = max(self._latest, rec.at)
-        elif held is not None and held.rid == rec.rid:
+        elif claim is not None and claim.rid == rec.rid:
             if rec.kind is RecordKind.DONE:
-                held.status, held.reply = rec.status, rec.reply
-            elif not held.status:
+                claim.status, claim.reply = rec.status, rec.reply
+            elif not claim.status:
                 del self.claims[rec.key]
         return True
 
     def drop_expired(self):
-        """Drops claims too old for any later record to be compared with.
+        """Drops claims that no later record can refer to.
 
-        Twice the lifetime is kept, as writers' clocks differ.
+        Claims are kept for twice the lifetime, as writers' clocks differ.
         """
-        old = self._latest - 2 * self.ttl_s
-        for key in [k for k, c in self.claims.items() if c.written_at < old]:
+        oldest = self._latest - 2 * self.ttl_s
+        for key in [k for k, c in self.claims.items() if c.written_at < oldest]:
             del self.claims[key]
--- a/tests/test_catalogue_fuzz.py
+++ b/tests/test_catalogue_fuzz.py
@@ -1,10 +1,10 @@
 """Stateful fuzzing of the catalogue against a linear oracle.
 
-Symptom guarded against: a version that goes back, an accepted change lost
-or silently overwritten, two entries that disagree on which change won.
-Sequence: any interleaving of operators' changes on old and new versions,
-malformed records, replays, duplicates, expired records and restarts from a
-snapshot. Cause it would have: a rule that depends on when a reader reads.
+Guards against a version that decreases, an accepted change that is lost or
+silently overwritten, and readers that disagree on which change was accepted.
+The rules interleave changes based on old and new versions, malformed records,
+replays, duplicates, expired records and restarts from a snapshot. A reader
+fails if its decision depends on when it reads a record.
 """
 
 import msgspec
@@ -61,14 +61,14 @@
             self.accepted.append(cid)
 
     @stateful.rule()
-    def malformed(self):
+    def append_malformed(self):
         self.log.append({'type': 'change', 'id': 5})
 
-    @stateful.rule(again=st.integers(0, 100))
-    def duplicate(self, again):
+    @stateful.rule(index=st.integers(0, 100))
+    def duplicate(self, index):
         if self.log:
-            # The same record twice: its second base is older than itself.
-            self.log.append(self.log[again % len(self.log)])
+            # The second copy is based on a version older than the first one.
+            self.log.append(self.log[index % len(self.log)])
             data = self.log[-1]
             if data.get('base') is None or data['classes'][0]['tier'] == 9:
                 return
@@ -80,17 +80,17 @@
                 self.accepted.append(data['id'])
 
     @stateful.rule(i=st.integers(0, 2),
-                   most=st.integers(1, 20),
+                   limit=st.integers(1, 20),
                    replay=st.booleans())
-    def read(self, i, most, replay):
+    def read(self, i, limit, replay):
         reader = self.readers[i]
         if reader.offset < self.start:
             assert reader.restore(self.snapshot)
         begin = self.start if replay else reader.offset
-        for off in range(begin, min(reader.offset + most, len(self.log))):
+        for off in range(begin, min(reader.offset + limit, len(self.log))):
             reader.apply(off, self.log[off])
             reader.apply(off, self.log[off])
-        assert reader.version >= self.seen[i], 'version went back'
+        assert reader.version >= self.seen[i], 'version decreased'
         self.seen[i] = reader.version
 
     @stateful.rule(i=st.integers(0, 2))
@@ -101,7 +101,7 @@
             self.snapshot = msgspec.json.decode(raw, type=catalogue.Snapshot)
 
     @stateful.rule(i=st.integers(0, 2))
-    def old_snapshot_reverts_nothing(self, i):
+    def an_old_snapshot_is_not_restored(self, i):
         reader = self.readers[i]
         before = (reader.version, reader.offset)
         if self.snapshot and self.snapshot.as_of < reader.offset:
@@ -120,7 +120,7 @@
             self.seen[i] = 0
 
     @stateful.invariant()
-    def caught_up_readers_agree_with_the_oracle(self):
+    def readers_agree_with_the_oracle(self):
         for reader in self.readers:
             assert reader.version <= self.version
             if reader.offset == len(self.log):
--- a/tests/test_claims_fuzz.py
+++ b/tests/test_claims_fuzz.py
@@ -1,11 +1,11 @@
 """Stateful fuzzing of the at-most-once ledger against a simple oracle.
 
-Symptom guarded against: a key runs twice, or a caller is told "not run"
-for one that runs later. Sequence: any interleaving of claims by several
-entries, appends whose reply is lost, appends that land late, entries that
-freeze between claim and dispatch and wake later, give up, crash and
-restart. Cause it would have: deciding a claim before the log's order does,
-or taking over a claim of an entry that seems dead.
+Guards against a key that runs twice, and a caller that gets "not run" for a
+request that runs later. The rules interleave claims by several entries,
+appends whose reply is lost or that take effect late, and entries that pause
+between claim and dispatch, give up, crash and restart. The test fails if a
+claim is decided before its position in the log is known, or if the claim of an
+entry that seems dead is transferred.
 """
 
 from hypothesis import settings
@@ -18,7 +18,7 @@
 
 
 class ClaimsMachine(stateful.RuleBasedStateMachine):
-    """Entries that share one log; the oracle counts runs by key."""
+    """Entries that share one log; the oracle counts the runs of each key."""
 
     def __init__(self):
         super().__init__()
@@ -29,8 +29,8 @@
         self.won = {}
         self.gave_up = {}
         self.runs = dict.fromkeys(KEYS, 0)
-        self.told_not_run = set()
-        self.ran = set()
+        self.reported_not_run = set()
+        self.executed = set()
         self.n = 0
 
     def _rec(self, kind, key, rid):
@@ -38,26 +38,27 @@
 
     @stateful.rule(e=st.integers(0, 2),
                    key=st.sampled_from(KEYS),
-                   lands=st.sampled_from(['now', 'late', 'never']))
-    def claim(self, e, key, lands):
+                   takes_effect=st.sampled_from(['now', 'late', 'never']))
+    def claim(self, e, key, takes_effect):
         self.n += 1
         rid = f'r{self.n}'
         rec = self._rec(claims.RecordKind.CLAIM, key, rid)
-        if lands == 'now':
+        if takes_effect == 'now':
             self.log.append(rec)
-        elif lands == 'late':
+        elif takes_effect == 'late':
             self.late.append(rec)
         self.pending[rid] = (e, key)
 
     @stateful.rule()
-    def late_append_lands(self):
+    def apply_late_append(self):
         if self.late:
             self.log.append(self.late.pop(0))
 
-    @stateful.rule(e=st.integers(0, 2), most=st.integers(1, 10))
-    def read(self, e, most):
+    @stateful.rule(e=st.integers(0, 2), limit=st.integers(1, 10))
+    def read(self, e, limit):
         state = self.entries[e]
-        for off in range(state.offset, min(state.offset + most, len(self.log))):
+        for off in range(state.offset, min(state.offset + limit,
+                                           len(self.log))):
             rec = self.log[off]
             state.apply(off, rec, 0.0)
             if rec.kind is not claims.RecordKind.CLAIM:
@@ -67,7 +68,7 @@
                 if state.claims[key].rid == rec.rid:
                     self.won[rec.rid] = (e, key)
                 else:
-                    self.told_not_run.add(rec.rid)
+                    self.reported_not_run.add(rec.rid)
             elif self.gave_up.pop(rec.rid, None) == e:
                 if state.claims[rec.key].rid == rec.rid:
                     self.log.append(
@@ -79,16 +80,16 @@
             rid = data.draw(st.sampled_from(sorted(self.pending)))
             e, _ = self.pending.pop(rid)
             self.gave_up[rid] = e
-            self.told_not_run.add(rid)
+            self.reported_not_run.add(rid)
 
-    @stateful.rule(data=st.data(), answered=st.booleans())
-    def dispatch_after_any_pause(self, data, answered):
+    @stateful.rule(data=st.data(), responded=st.booleans())
+    def dispatch_after_any_pause(self, data, responded):
         if self.won:
             rid = data.draw(st.sampled_from(sorted(self.won)))
             _, key = self.won.pop(rid)
             self.runs[key] += 1
-            self.ran.add(rid)
-            if answered:
+            self.executed.add(rid)
+            if responded:
                 self.log.append(self._rec(claims.RecordKind.DONE, key, rid))
 
     @stateful.rule(data=st.data())
@@ -96,7 +97,7 @@
         if self.won:
             rid = data.draw(st.sampled_from(sorted(self.won)))
             _, key = self.won.pop(rid)
-            self.told_not_run.add(rid)
+            self.reported_not_run.add(rid)
             self.log.append(self._rec(claims.RecordKind.RELEASE, key, rid))
 
     @stateful.rule(e=st.integers(0, 2))
@@ -112,8 +113,8 @@
         assert max(self.runs.values()) <= 1, self.runs
 
     @stateful.invariant()
-    def not_run_is_true(self):
-        assert not self.told_not_run & self.ran
+    def reported_not_run_has_not_run(self):
+        assert not self.reported_not_run & self.executed
 
 
 TestClaims = ClaimsMachine.TestCase
@@ -123,8 +124,8 @@
                                derandomize=True)
 
 
-def test_readers_forget_a_key_at_the_same_record():
-    """A claim after the key's lifetime wins, by the records' own times."""
+def test_a_key_expires_at_the_same_record_for_all_readers():
+    """The key's lifetime is compared with the times in the records."""
     state = claims.State(ttl_s=10.0)
     for off, (rid, at) in enumerate([('r1', 0.0), ('r2', 9.0), ('r3', 11.0)]):
         rec = claims.Record(kind=claims.RecordKind.CLAIM,
@@ -136,7 +137,7 @@
     assert state.claims['k'].fence == 2
 
 
-def test_an_answer_is_kept_for_the_claim_that_won():
+def test_the_response_is_stored_for_the_claim_that_won():
     state = claims.State(ttl_s=10.0)
     kinds = [(claims.RecordKind.CLAIM, 'r1'), (claims.RecordKind.CLAIM, 'r2'),
              (claims.RecordKind.DONE, 'r2'), (claims.RecordKind.DONE, 'r1'),
