--- a/gorsefall/daemon.py
+++ b/gorsefall/daemon.py
@@ -1,4 +1,4 @@
-"""What every process that answers requests shares: its stop."""
+"""Graceful shutdown, common to all processes that serve requests."""
 
 import signal
 import time
@@ -9,11 +9,11 @@
 
 
 class Daemon(core.BaseComponent):
-    """A process that answers requests until a signal stops it.
+    """A process that serves requests until SIGTERM or SIGINT.
 
     Attributes:
-        shutdown: The ``shutdown.Shutdown`` it goes by.
-        log: Its logger.
+        shutdown: The ``shutdown.Shutdown`` with the state of the shutdown.
+        log: Logger of the process.
     """
 
     def __init__(self, log):
@@ -23,40 +23,43 @@
 
     @property
     def draining(self):
-        """Whether the process is stopping."""
+        """Whether the process is shutting down."""
         return self.shutdown.has_begun
 
     @property
     def in_flight(self):
-        """Number of requests under way."""
+        """Number of requests in flight."""
         raise NotImplementedError
 
     @property
     def lame_duck_s(self):
-        """How long new requests are still taken after the signal, s."""
+        """Time after the signal in which new requests are still accepted, s."""
         raise NotImplementedError
 
     @property
     def drain_s(self):
-        """How long what runs may take after the signal, s."""
+        """Time after the signal in which requests may complete, s."""
         raise NotImplementedError
 
     def on_drain(self):
-        """Called once, when the stop begins."""
+        """Called once, when the shutdown begins."""
 
     @core.handler('signal', channel='*', priority=100)
     def _on_signal(self, event, signo, stack):
         del stack
         if signo in (signal.SIGTERM, signal.SIGINT):
-            # circuits' own handlers close every socket at once, cutting
-            # answers in flight (symptom: callers see a reset mid-stream on
-            # SIGTERM). Stopping the event here keeps connections open until
-            # the drain is over.
+            # The handlers of circuits close all sockets at once, so callers
+            # would see a reset in the middle of a response. Stopping the
+            # event keeps connections open until the drain has ended.
             event.stop()
             self.drain()
 
     def drain(self):
-        """Stops being ready, serves what comes, ends with its last answer."""
+        """Begins the shutdown.
+
+        The process is no longer ready, accepts requests for ``lame_duck_s``,
+        and exits after its last response, or after ``drain_s``.
+        """
         if self.shutdown.begin(time.monotonic(), self.lame_duck_s,
                                self.drain_s):
             self.log.info('stopping', running=self.in_flight)
--- a/gorsefall/directory.py
+++ b/gorsefall/directory.py
@@ -1,41 +1,42 @@
-"""The seam to who can serve: replicas as some wire makes them known."""
+"""Interface to the replicas that an entry has discovered."""
 
 from gorsefall import errors
 from gorsefall.policy import retry_delay
 
 
 class Directory:
-    """The replicas that an entry knows.
+    """The replicas that an entry has discovered.
 
     Attributes:
-        replicas: ``name -> replica``, those that are gone not included.
+        replicas: ``name -> replica``, without those that are gone.
     """
 
     def __init__(self):
         self.replicas = {}
 
     def candidates(self, service, exclude):
-        """Returns the replicas of a service that may get new work, a list.
+        """Returns a list of the replicas that may receive a request.
 
         Args:
             service: Name of the service or pool.
-            exclude: Names already tried for the request.
+            exclude: Names of replicas already tried for the request.
         """
         raise NotImplementedError
 
 
-def require_loaded(in_force):
-    """Returns ``in_force`` unless it is None.
+def require_loaded(configuration):
+    """Returns ``configuration`` unless it is None.
 
     Args:
-        in_force: What the entry was told to serve, None before it was told.
+        configuration: The active catalogue or routing table; None before the
+            first one is loaded.
 
     Raises:
-        errors.NoCatalogueError: It was told nothing yet. A process that
-            knows nothing must not deny what may well be allowed: the
-            caller would not try again.
+        errors.NoCatalogueError: None is loaded yet. The caller must not get a
+            denial such as "unknown key" instead, after which it would not
+            retry.
     """
-    if in_force is None:
-        raise errors.NoCatalogueError('nothing to serve was read yet',
+    if configuration is None:
+        raise errors.NoCatalogueError('no configuration has been loaded yet',
                                       retry_after=retry_delay.short_delay_s())
-    return in_force
+    return configuration
--- a/gorsefall/replies.py
+++ b/gorsefall/replies.py
@@ -1,4 +1,4 @@
-"""Server-side HTTP replies: JSON bodies, coded errors and pushed streams."""
+"""Server-side HTTP responses: JSON bodies, errors and chunked streams."""
 
 import math
 import weakref
@@ -15,7 +15,7 @@
 
 
 def json_body(res, obj, status=200):
-    """Sets ``res`` to a JSON reply and returns it for a controller to return.
+    """Fills ``res`` with a JSON body, and returns it for the controller.
 
     Args:
         res: The circuits.web response object.
@@ -32,18 +32,18 @@
 
 
 def error_body(res, exc):
-    """Sets ``res`` to the coded error reply of ``exc`` (a GorsefallError)."""
+    """Fills ``res`` with the error body of ``exc`` (a GorsefallError)."""
     if hasattr(exc, 'retry_after'):
-        # Whole seconds are all that the field knows; rounding down would
-        # bring callers back before their place is free.
+        # The field takes whole seconds only. Rounded down, callers would
+        # retry before capacity is available.
         res.headers['Retry-After'] = str(max(1, math.ceil(exc.retry_after)))
     return json_body(res, exc.to_json(), exc.status)
 
 
 def reports_not_run(obj):
-    """Returns whether a decoded error reply says that nothing was done.
+    """Returns whether a decoded error body says that the request did not run.
 
-    A peer that refuses before acting marks it with ``error.not_run``.
+    A peer that refuses a request before running it sets ``error.not_run``.
     """
     err = obj.get('error') if isinstance(obj, dict) else None
     return isinstance(err, dict) and err.get('not_run') is True
@@ -54,20 +54,20 @@
 
     Args:
         req: The circuits.web request.
-        limit: Largest body accepted, bytes.
-        kind: Type the body must decode to (a msgspec Struct or dict).
+        limit: Maximum length of the body, bytes.
+        kind: Type that the body must decode to (a msgspec Struct or dict).
 
     Returns:
         The decoded body.
 
     Raises:
-        errors.BodyTooLargeError: The body is over ``limit`` bytes.
+        errors.BodyTooLargeError: The body is longer than ``limit``.
         errors.BadRequestError: The body is not valid JSON of ``kind``.
     """
     req.body.seek(0)
     raw = req.body.read(limit + 1)
     if len(raw) > limit:
-        raise errors.BodyTooLargeError(f'body over {limit} bytes')
+        raise errors.BodyTooLargeError(f'body exceeds {limit} bytes')
     try:
         return msgspec.json.decode(raw or b'{}', type=kind)
     except msgspec.ValidationError as exc:
@@ -76,13 +76,12 @@
         raise errors.BadRequestError(f'malformed JSON: {exc}') from exc
 
 
-class _PushedBody:
-    """A body that circuits.web never iterates: data is pushed as it comes.
+class _EmptyBody:
+    """A falsy body that makes circuits.web send only the headers.
 
-    circuits.web pulls a generator body once per loop pass, so a generator
-    that waits for a back end would stall every other request of the
-    process. Being falsy, this body makes circuits.web send only the headers;
-    chunks then go out through ``stream`` events fired by ``Push``.
+    The chunks follow as ``stream`` events that ``ChunkedReply`` fires. With a
+    generator as body, circuits.web would pull it once per loop pass, and a
+    generator that waits for a back end would stall all other requests.
     """
 
     def __bool__(self):
@@ -92,15 +91,15 @@
         return iter(())
 
     def close(self):
-        """Nothing to release; circuits.web calls this at the end."""
+        """Does nothing; circuits.web calls this at the end."""
 
 
 class ChunkedReply:
-    """A chunked reply whose chunks are sent when they become available.
+    """A chunked response whose chunks are sent as they become available.
 
     Attributes:
-        res: The circuits.web response being written.
-        closed: True once ``end`` was called.
+        res: The circuits.web response.
+        closed: Whether ``end`` was called.
     """
 
     def __init__(self, mgr, res, content_type):
@@ -110,33 +109,33 @@
         res.stream = True
         res.headers['Content-Type'] = content_type
         res.headers['Cache-Control'] = 'no-cache'
-        res.body = _PushedBody()
+        res.body = _EmptyBody()
 
     def send(self, data):
-        """Queues ``data`` (bytes) to be written to the caller."""
+        """Queues ``data`` (bytes) to be sent to the caller."""
         if not self.closed and data:
             self._mgr.fire(web_events.stream(self.res, data), WEB_CHANNEL)
 
     def end(self):
-        """Finishes the reply; later ``send`` calls are dropped."""
+        """Ends the response; later ``send`` calls are ignored."""
         if not self.closed:
             self.closed = True
             self._mgr.fire(web_events.stream(self.res, None), WEB_CHANNEL)
 
 
 def start_chunked(mgr, res, content_type):
-    """Starts a pushed reply; the controller must return ``push.res``."""
+    """Starts a ``ChunkedReply``; the controller must return its ``res``."""
     return ChunkedReply(mgr, res, content_type)
 
 
 class JsonOnly(core.BaseComponent):
-    """Makes a server speak JSON only: bodies in, errors out.
+    """Makes a server accept JSON bodies and send JSON errors only.
 
-    Without it circuits.web answers errors with an HTML page and a traceback,
-    which API clients cannot parse and which leaks internals. A
-    ``GorsefallError`` raised by a controller keeps its code and status;
-    anything else becomes ``internal`` (500) or the HTTP status circuits
-    chose (404 for an unknown route).
+    By default circuits.web responds to errors with an HTML page and a
+    traceback, which API clients cannot parse and which discloses internals. A
+    ``GorsefallError`` raised by a controller keeps its code and status. Other
+    exceptions become ``internal`` (500), or have the HTTP status chosen by
+    circuits (404 for an unknown path).
     """
     channel = WEB_CHANNEL
 
@@ -146,9 +145,9 @@
 
     @core.handler('request', priority=10)
     def _on_request(self, event, req, res):
-        # Callers forget the content type (curl -d says it is a form), and
-        # circuits' form parser fails on some JSON, which gave callers a
-        # 500. Every body is JSON here, whatever it is called.
+        # All bodies are JSON, whatever their content type says: curl -d sends
+        # JSON as a form by default, and the form parser of circuits fails on
+        # some JSON, with status 500 for the caller.
         del event, res
         if req.method == 'POST':
             req.headers['Content-Type'] = JSON_TYPE
@@ -159,13 +158,13 @@
         event.stop()
         if req in self._answered:
             # circuits reports an exception of a controller twice, as
-            # 'exception' and as 'request_failure'. Answering both put two
-            # replies on the connection, and a caller that kept it took the
-            # second for the answer to its next request.
+            # 'exception' and as 'request_failure'. Responding to both would
+            # send two responses, and a caller that reuses the connection
+            # would take the second one for the response to its next request.
             return
         self._answered.add(req)
         res.stream = False
-        # circuits closes after every error; a refusal is no reason to.
+        # By default circuits closes the connection after every error.
         res.close = req.headers.get('Connection', '').lower() == 'close'
         exc = event.error[1] if event.error else None
         if isinstance(exc, errors.GorsefallError):
@@ -174,7 +173,7 @@
             status = getattr(event, 'code', None) or code or 500
             name = 'not_found' if status == 404 else 'internal'
             if exc is not None:
-                # The caller is told no internals; the operator's log is.
+                # Details are logged, not disclosed to the caller.
                 logs.get('http').error('internal_error',
                                        path=req.path,
                                        exc_info=event.error)
@@ -187,17 +186,17 @@
 
 
 class DeferredReply:
-    """A reply decided after the controller returned.
+    """A response whose status is decided after the controller has returned.
 
-    The controller returns ``True``, which circuits.web takes as "answered
-    elsewhere"; this object then sends the status and body once known. A
-    request waiting in a queue thus gets its real status (200, 429, 503)
-    rather than a 200 sent before the outcome was known.
+    The controller returns ``True``, after which circuits.web sends nothing by
+    itself; this object sends status and body once they are known. A queued
+    request thus gets its actual status (200, 429, 503) instead of a 200 sent
+    before the outcome is known.
 
     Attributes:
         res: The circuits.web response.
-        started: True once the status line went out.
-        push: The ``Push`` of a streamed reply, once opened.
+        started: Whether the status line was sent.
+        push: The ``ChunkedReply`` of a streamed response, once started.
     """
 
     def __init__(self, mgr, res, closing=False):
@@ -208,7 +207,7 @@
         self.push = None
 
     def json(self, obj, status=200):
-        """Sends a whole JSON reply; ignored after the reply started."""
+        """Sends a complete JSON response; ignored if one has started."""
         if self.started:
             return
         self.started = True
@@ -216,10 +215,10 @@
         self._mgr.fire(web_events.response(self.res), WEB_CHANNEL)
 
     def error(self, exc):
-        """Sends the coded error reply of ``exc`` if nothing was sent yet.
+        """Sends the error response of ``exc`` if nothing was sent yet.
 
         Returns:
-            False when the reply had already started (a stream is open).
+            False if the response has already started (a stream is open).
         """
         if self.started:
             return False
@@ -229,16 +228,16 @@
         return True
 
     def stream_error(self, exc):
-        """Ends a started stream with the coded error of ``exc``.
+        """Ends a started stream with the error of ``exc``.
 
-        The stream then lacks its end mark, so a caller cannot take it for
-        a whole answer.
+        The stream then lacks its end marker, so that a caller cannot take it
+        for a complete response.
         """
         self.push.send(b'data: ' + msgspec.json.encode(exc.to_json()) + b'\n\n')
         self.push.end()
 
     def stream(self, content_type):
-        """Sends status 200 and headers; returns the ``Push`` for chunks."""
+        """Sends status 200 and headers; returns the ``ChunkedReply``."""
         if self.push is None:
             self.started = True
             self.push = ChunkedReply(self._mgr, self.res, content_type)
