--- a/gorsefall/bench.py
+++ b/gorsefall/bench.py
@@ -1,8 +1,9 @@
-"""``gorsefall bench``: an open-loop burst mix against entries, by class.
+"""``gorsefall bench``: an open-loop load with a burst, reported by class.
 
-Sends requests at scheduled times (they do not wait for each other), reads
-answers as a caller would, gives up as a caller would, then reports per
-class: attainment of the latency targets, goodput, sheds, and wasted work.
+Requests are sent at scheduled times, independently of earlier responses. Like
+a real caller, the benchmark reads responses as they arrive and gives up after
+a timeout. It reports for each class the attainment of latency targets,
+goodput, refusals and wasted work.
 """
 
 import asyncio
@@ -41,10 +42,11 @@
         pool: Pool of a service call.
         op: Service operation.
         max_tokens: Token cap of chat requests.
-        shared_words: Words of the prompt that this stream's requests share.
-        prompt_words: Words of the prompt of their own.
-        patience_x: The caller leaves after this many times its class's
-            whole-answer target.
+        shared_words: Length of the prompt prefix that all requests of the
+            stream share, words.
+        prompt_words: Length of the rest of the prompt, words.
+        patience_x: Timeout of the caller, as a multiple of the class's
+            ``e2e_ms``.
     """
     customer: str
     klass: str
@@ -60,17 +62,17 @@
 
 
 class Scenario(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """A bench scenario file (TOML).
+    """A benchmark scenario file (TOML).
 
     Attributes:
-        name: Shown in reports.
-        site: Folder under ``examples/`` whose processes are used.
-        catalogue: Catalogue file with the classes' targets.
+        name: Name of the scenario in reports.
+        site: Folder under ``examples/`` with the processes to use.
+        catalogue: Catalogue file with the targets of the classes.
         duration_s: Seconds during which requests are sent.
         burst_start_s, burst_end_s: The burst window, s from the start.
         seed: Seed of the arrival times.
         standin_opts: ``kind -> [NAME=VALUE]`` options of the stand-ins.
-        faults: Fault switches flipped during the run.
+        faults: Faults injected during the run.
         streams: The sources of requests.
     """
     name: str
@@ -86,7 +88,7 @@
 
 
 class Fault(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """Fault switches set on one stand-in ``at_s`` seconds from the start."""
+    """Fault switches to set on a stand-in ``at_s`` seconds after the start."""
     at_s: float
     standin: str
     switches: dict
@@ -94,17 +96,17 @@
 
 @dataclasses.dataclass
 class Result:
-    """One request as the caller saw it.
+    """One request as observed by the caller.
 
     Attributes:
         stream: The ``Stream`` it came from.
         at_s: When it was sent, s from the start.
-        status: HTTP status; ``LEFT`` when the caller gave up, ``BROKEN``
-            when the answer was cut or never came.
+        status: HTTP status; ``CALLER_LEFT_STATUS`` if the caller gave up,
+            ``BROKEN_STATUS`` if the response was truncated or never came.
         ttft_s: Time to the first token, s.
         e2e_s: Time to the end, s.
-        tokens: Tokens received.
-        gap_s: Longest time between two pieces, s.
+        tokens: Number of tokens received.
+        gap_s: Longest time between two chunks, s.
     """
     stream: Stream
     at_s: float
@@ -119,7 +121,8 @@
     """Reads a scenario file.
 
     Raises:
-        errors.BenchError: Missing, malformed, or with unknown keys.
+        errors.BenchError: The file is missing, malformed, or has unknown
+            keys.
     """
     try:
         raw = tomllib.loads(pathlib.Path(path).read_text(encoding='utf-8'))
@@ -144,7 +147,10 @@
 
 
 def arrivals(sc):
-    """Returns ``[(time s, Stream)]``, Poisson with the burst, by time."""
+    """Returns ``[(time s, Stream)]`` in order of time.
+
+    The arrivals are Poisson processes with a higher rate during the burst.
+    """
     rng = random.Random(sc.seed)
     out = []
     for st in sc.streams:
@@ -182,7 +188,7 @@
     return '/v1/chat/completions', body, headers
 
 
-async def _read_answer(res, result, t0):
+async def _read_stream(res, result, t0):
     done = False
     last = None
     async for line in res.content:
@@ -206,7 +212,7 @@
     return OK if done else BROKEN_STATUS
 
 
-async def _ask(session, addr, st, n, result):
+async def _exchange(session, addr, st, n, result):
     path, body, headers = _request(st, n)
     t0 = time.monotonic()
     url = f'http://{addr[0]}:{addr[1]}{path}'
@@ -219,14 +225,14 @@
             result.ttft_s = time.monotonic() - t0
             result.status = OK
         else:
-            result.status = await _read_answer(res, result, t0)
+            result.status = await _read_stream(res, result, t0)
 
 
-async def _send(session, addr, n, result, patience_s):
+async def _run_request(session, addr, n, result, timeout_s):
     t0 = time.monotonic()
     try:
-        async with asyncio.timeout(patience_s):
-            await _ask(session, addr, result.stream, n, result)
+        async with asyncio.timeout(timeout_s):
+            await _exchange(session, addr, result.stream, n, result)
     except TimeoutError:
         result.status = CALLER_LEFT_STATUS
     except aiohttp.ClientError:
@@ -234,21 +240,21 @@
     result.e2e_s = time.monotonic() - t0
 
 
-async def _flip(session, fault, addr_of, t0):
+async def _inject_fault(session, fault, addr_of, t0):
     await asyncio.sleep(max(0.0, t0 + fault.at_s - time.monotonic()))
     url = f'http://{addr_of(fault.standin)}/control'
     async with session.post(url, json=fault.switches) as res:
         await res.read()
 
 
-async def _drive(sc, entries, klasses, addr_of):
+async def _run_load(sc, entries, klasses, addr_of):
     results, tasks = [], []
     conn = aiohttp.TCPConnector(limit=0, force_close=True)
     async with aiohttp.ClientSession(connector=conn) as session:
         t0 = time.monotonic()
         for fault in sc.faults:
-            tasks.append(asyncio.create_task(_flip(session, fault, addr_of,
-                                                   t0)))
+            tasks.append(
+                asyncio.create_task(_inject_fault(session, fault, addr_of, t0)))
         for n, (at, st) in enumerate(arrivals(sc)):
             await asyncio.sleep(max(0.0, t0 + at - time.monotonic()))
             klass = klasses[st.customer, st.klass]
@@ -256,14 +262,14 @@
             results.append(result)
             tasks.append(
                 asyncio.create_task(
-                    _send(session, entries[n % len(entries)], n, result,
-                          klass.e2e_ms / 1000 * st.patience_x)))
+                    _run_request(session, entries[n % len(entries)], n, result,
+                                 klass.e2e_ms / 1000 * st.patience_x)))
         await asyncio.gather(*tasks)
         return results, time.monotonic() - t0
 
 
 async def _scrape(entries):
-    """Returns the entries' counters summed by name and tier."""
+    """Returns the entries' counters, summed by name, tier and reason."""
     sums = collections.Counter()
     async with aiohttp.ClientSession() as session:
         for host, port in entries:
@@ -283,18 +289,18 @@
     Args:
         sc: The ``Scenario``.
         entries: List of ``(host, port)``.
-        addr_of: Function from a stand-in's name to its ``host:port``, for
-            the scenario's faults.
+        addr_of: Returns the ``host:port`` of a stand-in, given its name; used
+            for the scenario's faults.
     """
     klasses = load_classes(sc)
     before = asyncio.run(_scrape(entries))
-    results, span = asyncio.run(_drive(sc, entries, klasses, addr_of))
+    results, span = asyncio.run(_run_load(sc, entries, klasses, addr_of))
     after = asyncio.run(_scrape(entries))
     return _report(sc, klasses, results, span, after - before)
 
 
 def meets_targets(result, klass):
-    """Whether a result met its class's latency targets."""
+    """Returns whether a result met the latency targets of its class."""
     return (result.status == OK and result.ttft_s * 1000 <= klass.ttft_ms and
             result.e2e_s * 1000 <= klass.e2e_ms)
 
@@ -356,7 +362,7 @@
 
 
 def _quantile(xs, percent):
-    """Returns a percentile of ``xs`` (s) in ms, or None when empty."""
+    """Returns a percentile of ``xs`` (s) in ms, or None if it is empty."""
     if len(xs) < 2:
         return round(1000 * xs[0], 1) if xs else None
     cuts = statistics.quantiles(xs, n=100, method='inclusive')
@@ -364,7 +370,7 @@
 
 
 def table(rep):
-    """Returns the report as a text table, one class a line."""
+    """Returns the report as a text table with a line for each class."""
     lines = [
         f"scenario: {rep['scenario']}  span {rep['span_s']} s  "
         f"requests {rep['requests']}  goodput {rep['goodput_tok_s']} tok/s  "
@@ -382,13 +388,13 @@
 
 
 def report(scenario, entries, out, label='gorsefall'):
-    """Plays a scenario file, prints its table and writes its result.
+    """Runs a scenario file, prints a table and writes the report.
 
     Args:
         scenario: Path of the scenario file.
         entries: ``(host, port)`` of each entry.
-        out: Path of the result, JSON.
-        label: Name of the run in the result.
+        out: Path of the report, JSON.
+        label: Label of the run in the report.
 
     Returns:
         The exit status.
--- a/gorsefall/cmdline.py
+++ b/gorsefall/cmdline.py
@@ -39,9 +39,9 @@
 
 
 def _check_settings(args):
-    kind = relay_settings if args.relay else settings
-    kind.load(args.config)
-    print(f'{args.config}: sound')
+    module = relay_settings if args.relay else settings
+    module.load(args.config)
+    print(f'{args.config}: valid')
     return 0
 
 
@@ -66,14 +66,14 @@
         sys.stdout.write(catalogue.to_toml(publish.current(args.log).doc))
         return 0
     if not args.file:
-        raise errors.CatalogueError('publish: name the catalogue file')
+        raise errors.CatalogueError('publish: catalogue file is missing')
     doc = catalogue.load(args.file)
     base = doc.version if args.base is None else args.base
     if not base and publish.current(args.log).version:
-        # Based on nothing, the file would undo every change since it was
-        # written without anybody noticing.
+        # Without a base version the file would silently undo all changes made
+        # since it was written.
         raise errors.CatalogueError(
-            f'{args.file} names no version, and a catalogue is in force; '
+            f'{args.file} has no version, but a catalogue is already active; '
             'start from "gorsefall catalogue show" or pass --base')
     version = publish.publish(args.log, doc, author=args.author, base=base)
     print(f'accepted as version {version}')
@@ -96,22 +96,23 @@
     sites = [site.load(path) for path in args.sites]
     sites += [site.random_site(seed) for seed in range(args.drawn)]
     if not sites:
-        raise errors.SettingsError('name a site file, or --drawn sites')
-    found = []
+        raise errors.SettingsError('a site file or --drawn is required')
+    results = []
     for row in compare.rows(sites, args.seeds, args.seconds):
         print(compare.format_row(row), flush=True)
-        found.append(row)
+        results.append(row)
     if args.out:
-        pathlib.Path(args.out).write_bytes(msgspec.json.encode(found))
+        pathlib.Path(args.out).write_bytes(msgspec.json.encode(results))
     if args.plot:
-        compare.plot(found, args.plot)
+        compare.plot(results, args.plot)
     return 0
 
 
 def _explain(args):
     *files, request = args.files_and_id
     if not files:
-        raise errors.LogFileError('name the log files, then the request')
+        raise errors.LogFileError(
+            'at least one log file is required before the request ID')
     print(explain.explain(loglines.read_files(files), request))
     return 0
 
@@ -131,14 +132,14 @@
     e.add_argument('config', help='settings TOML file')
     e.set_defaults(func=_entry)
 
-    k = sub.add_parser('check-settings', help='check a settings file')
+    k = sub.add_parser('check-settings', help='validate a settings file')
     k.add_argument('config', help='settings TOML file')
     k.add_argument('--relay',
                    action='store_true',
-                   help='the settings of a relay entry')
+                   help='the file is for a relay entry')
     k.set_defaults(func=_check_settings)
 
-    s = sub.add_parser('standin', help='run a stand-in of a platform system')
+    s = sub.add_parser('standin', help='run a stand-in for a platform system')
     s.add_argument('kind', choices=sorted(registry.STANDINS))
     s.add_argument('--listen', type=_addr, required=True, help='host:port')
     s.add_argument('--opt',
@@ -158,32 +159,33 @@
     c.add_argument('--base',
                    type=int,
                    default=None,
-                   help='version the change is based on (default: the one '
-                   'the file names)')
+                   help='version the change is based on (default: the '
+                   'version in the file)')
     c.set_defaults(func=_catalogue)
 
     x = sub.add_parser('explain',
-                       help='tell from log files why a request ended so')
+                       help='explain from log files why a request failed')
     x.add_argument('files_and_id',
                    nargs='+',
                    metavar='LOGFILE... REQUEST-ID',
-                   help='log files of relay entries, then the request id')
+                   help='log files of relay entries, then the request ID')
     x.set_defaults(func=_explain)
 
     m = sub.add_parser('emulate',
-                       help='compare ways of placing requests, without network')
+                       help='compare placement policies by simulation')
     m.add_argument('sites', nargs='*', help='site TOML files')
     m.add_argument('--drawn',
                    type=int,
                    default=0,
-                   help='sites drawn at random beside them')
+                   help='number of additional random sites')
     m.add_argument('--seeds', type=int, default=3)
     m.add_argument('--seconds', type=float, default=20.0)
-    m.add_argument('--out', help='JSON file of all plays')
-    m.add_argument('--plot', help='PNG file of the worth earned')
+    m.add_argument('--out', help='JSON file for the results')
+    m.add_argument('--plot', help='PNG file for a plot of the value earned')
     m.set_defaults(func=_emulate)
 
-    b = sub.add_parser('bench', help='send a burst mix and report by class')
+    b = sub.add_parser('bench',
+                       help='send a load with a burst, report by class')
     b.add_argument('scenario', help='scenario TOML file')
     b.add_argument('--entry',
                    type=_addr,
@@ -195,9 +197,9 @@
     b.set_defaults(func=_bench)
 
     d = sub.add_parser('demo',
-                       help='run a site of stand-ins, ask it and load it')
-    d.add_argument('site', help='folder of the site, as examples/authority')
-    d.add_argument('scenario', help='scenario TOML file of the load')
+                       help='run a site of stand-ins and send it a load')
+    d.add_argument('site', help='folder of the site, e.g. examples/authority')
+    d.add_argument('scenario', help='scenario TOML file for the load')
     d.add_argument('--out', default='out', help='folder for logs and results')
     d.set_defaults(func=_demo)
     return p
--- a/gorsefall/demo.py
+++ b/gorsefall/demo.py
@@ -1,4 +1,4 @@
-"""The whole path on stand-ins: a site is started, asked and loaded."""
+"""Demonstration: starts a site of stand-ins and sends it requests."""
 
 import pathlib
 
@@ -13,22 +13,22 @@
 
 
 def run(site, scenario, out):
-    """Starts a site on free ports, publishes, asks and benches.
+    """Starts a site, publishes its catalogue and runs a benchmark.
 
     Args:
-        site: Folder with ``standins.txt``, entries and a catalogue.
-        scenario: Scenario file of the load.
+        site: Folder with ``standins.txt``, entry settings and a catalogue.
+        scenario: Scenario file for the load.
         out: Folder for logs and results.
 
     Returns:
         The exit status.
 
     Raises:
-        errors.SettingsError: The folder holds no site.
+        errors.SettingsError: The folder contains no site.
     """
     site, out = pathlib.Path(site), pathlib.Path(out)
     if not (site / 'standins.txt').is_file():
-        raise errors.SettingsError(f'{site}: no standins.txt there')
+        raise errors.SettingsError(f'{site}: contains no standins.txt')
     with ports.site(site, out / 'sites' / site.name) as site_dir:
         with launch.processes(site_dir, out / 'logs'):
             doc = catalogue.load(site_dir / 'catalogue.toml')
@@ -41,14 +41,14 @@
             print('catalogue accepted as version', version)
             listens = [entry.listen for entry in entries]
             launch.wait_ready(listens)
-            _ask(listens[0], doc.classes[0])
+            _send_chats(listens[0], doc.classes[0])
             return bench.report(scenario,
                                 [settingsfile.split_addr(a) for a in listens],
                                 out / f'{site.name}.json')
 
 
-def _ask(listen, klass):
-    """Asks as a caller with a usual client does, whole and streamed."""
+def _send_chats(listen, klass):
+    """Sends two chat requests with the OpenAI client, one of them streamed."""
     import openai
     client = openai.OpenAI(base_url=f'http://{listen}/v1',
                            api_key='unused',
@@ -65,10 +65,10 @@
                                                   'content': text
                                               }])
 
-    whole = complete('seats to terminal 2?', False)
-    print('non-streamed:', whole.choices[0].message.content[:60], '...')
-    parts = [
+    response = complete('seats to terminal 2?', False)
+    print('non-streamed:', response.choices[0].message.content[:60], '...')
+    chunks = [
         c.choices[0].delta.content or ''
         for c in complete('next bus to city?', True)
     ]
-    print('streamed:', len(parts), 'chunks:', ''.join(parts)[:60], '...')
+    print('streamed:', len(chunks), 'chunks:', ''.join(chunks)[:60], '...')
--- a/gorsefall/ids.py
+++ b/gorsefall/ids.py
@@ -1,4 +1,4 @@
-"""Typed identifiers used across gorsefall."""
+"""Types of identifiers used across gorsefall."""
 
 import typing
 
--- a/gorsefall/logclient.py
+++ b/gorsefall/logclient.py
@@ -1,7 +1,7 @@
 """Blocking client of the log service, for the command line and tests.
 
-The daemons use ``links`` inside their event loop instead; a blocking call
-there would stall every request of the process.
+Daemons use ``net.links`` in their event loop instead, where a blocking call
+would stall all requests of the process.
 """
 
 import urllib.error
@@ -13,7 +13,7 @@
 from gorsefall import streamprotocol
 
 READ_LIMIT = 500
-"""Records of one read; a page of them is under a MB."""
+"""Maximum records per read; keeps a page below 1 MB."""
 
 
 def _call(addr, method, path, body=None, timeout_s=5.0):
@@ -38,8 +38,8 @@
     """Appends ``records`` (dicts); returns the first offset.
 
     Raises:
-        errors.LogServiceError: Refused, failed, or the reply was lost; in
-            the last case the write may have taken effect.
+        errors.LogServiceError: The append was refused or failed, or its
+            response was lost; then the records may have been written.
     """
     status, obj = _call(addr, 'POST', streamprotocol.append_path(stream),
                         {'records': records})
@@ -49,9 +49,11 @@
 
 
 def read_all(addr, stream, start=0):
-    """Returns ``(records, start, end)`` from ``start`` to the stream's end.
+    """Reads a stream from ``start`` to its end.
 
-    The records are ``messages.StreamRecord``.
+    Returns:
+        ``(records, start, end)``: ``messages.StreamRecord`` objects, the offset
+        of the oldest retained record, and the offset after the newest.
 
     Raises:
         errors.LogServiceError: The log service failed.
@@ -62,8 +64,8 @@
         page = streamprotocol.decode_page(*_call(
             addr, 'GET', streamprotocol.read_path(stream, start, READ_LIMIT)))
         if page.expired:
-            # Older records have expired, perhaps while reading; what was
-            # read before the gap is of no use without it.
+            # Records expired, possibly during this read. Those read before
+            # the gap are useless without the missing ones.
             start, first = page.start, None
             out.clear()
             continue
--- a/gorsefall/messages.py
+++ b/gorsefall/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between gorsefall's processes and what it talks to (JSON)."""
+"""Typed JSON messages between gorsefall's processes and other systems."""
 
 import msgspec
 
@@ -9,15 +9,16 @@
     """Entry to engine: generate tokens for one request.
 
     Attributes:
-        id: Request id, unique per attempt family.
-        entry: Name of the entry that sends it, echoed in load reports.
+        id: Request ID; the same for all attempts of a request.
+        entry: Name of the sending entry, repeated in load reports.
         model: Model name.
         prompt: Prompt text.
-        max_tokens: Upper bound on generated tokens.
-        priority: 1 is the most urgent; the engine runs these first.
-        preempt: Whether it may stop a less urgent running request.
-        resume_from: Tokens already delivered; the engine goes on after them.
-        prior: Text of those tokens, which the engine reads with the prompt.
+        max_tokens: Maximum number of generated tokens.
+        priority: 1 is the most urgent and runs first.
+        preempt: Whether it may preempt a less urgent running request.
+        resume_from: Number of tokens already delivered; generation resumes
+            after them.
+        prior: Text of those tokens, which the engine prefills with the prompt.
     """
     id: str
     entry: str = ''
@@ -33,10 +34,10 @@
 class Event(msgspec.Struct, kw_only=True, omit_defaults=True):
     """Engine to entry: one line of the NDJSON stream.
 
-    ``i`` is the index of the first token in ``t``; ``n`` their number. A
-    line without tokens and without ``done`` is a heartbeat: the request
-    waits or is preempted, and the connection is alive. The last line has
-    ``done`` and ``reason``; ``n`` is then the answer's length.
+    ``t`` contains ``n`` tokens, of which the first has the index ``i``. A line
+    without tokens and without ``done`` is a heartbeat: the request waits or is
+    preempted, and the connection is alive. The last line has ``done`` and
+    ``reason``; its ``n`` is the length of the response in tokens.
     """
     i: int = -1
     t: str = ''
@@ -46,14 +47,14 @@
 
 
 class LoadReport(msgspec.Struct, kw_only=True):
-    """A back end's own view of its load, as of ``at`` (epoch s).
+    """The load that a back end reports.
 
     Attributes:
         running: Requests in the batch, or being served.
-        waiting: Requests accepted and waiting, preempted ones included.
-        at: When this was so, s (epoch).
-        by_entry: ``entry -> [requests by priority 1..5]``, running or
-            waiting, so that each entry can tell others' work from its own.
+        waiting: Requests accepted and waiting, including preempted ones.
+        at: Time of the report, s (epoch).
+        by_entry: ``entry -> [requests by priority 1..5]``, running or waiting,
+            so that an entry can distinguish other entries' work from its own.
     """
     running: int
     waiting: int
@@ -71,12 +72,12 @@
 
 
 class PeerUsage(msgspec.Struct, kw_only=True):
-    """Entry to entry: what one uses of the limits.
+    """Entry to entry: usage of the shared limits.
 
     Attributes:
-        entry: Who says so.
-        use: ``[key parts, requests in flight, requests per second]`` of
-            each limit in use.
+        entry: Name of the reporting entry.
+        use: ``[key parts, requests in flight, requests per second]`` for each
+            limit in use.
     """
     entry: str
     use: list[tuple[list[str], int, float]]
@@ -89,13 +90,13 @@
 
 
 class StreamPage(msgspec.Struct):
-    """Log service to reader: records, and which the stream still holds.
+    """Log service to reader: a page of records.
 
     Attributes:
-        start: Oldest offset kept.
-        end: Offset after the newest.
-        records: The ``StreamRecord`` from the offset asked for on.
-        expired: Whether that offset is older than ``start``.
+        start: Offset of the oldest retained record.
+        end: Offset after the newest record.
+        records: The ``StreamRecord`` objects from the requested offset on.
+        expired: Whether the requested offset is below ``start``.
     """
     start: int
     end: int
@@ -104,7 +105,7 @@
 
 
 class CacheEvent(msgspec.Struct, kw_only=True):
-    """A prompt block entering (``stored``) or leaving the engine's cache."""
+    """A prompt block that enters (``stored``) or leaves an engine's cache."""
     seq: int
     kind: str
     block: str
@@ -114,12 +115,12 @@
     """Entry to plain service: one call.
 
     Attributes:
-        id: Request id.
-        entry: Name of the entry that sends it.
+        id: Request ID.
+        entry: Name of the sending entry.
         op: Operation name, e.g. ``seat_query`` or ``charge``.
         args: Operation arguments.
-        key: Idempotency key, scoped by customer; empty when none.
-        fence: Fencing number of the key's ledger claim; 0 when none.
+        key: Idempotency key, scoped by customer; empty if none.
+        fence: Fencing token of the key's claim; 0 if none.
     """
     id: str
     entry: str = ''
@@ -130,7 +131,7 @@
 
 
 class VmEntry(msgspec.Struct, kw_only=True):
-    """A VM as the VM list shows it.
+    """A VM in the VM list.
 
     Attributes:
         name: VM name.
@@ -138,7 +139,7 @@
         zone: Availability zone.
         state: ``live`` or ``leaving``.
         role: ``backend`` or ``entry``.
-        pool: Pool a back end serves.
+        pool: Pool of a back end.
     """
     name: str
     addr: str = ''
--- a/gorsefall/publish.py
+++ b/gorsefall/publish.py
@@ -1,4 +1,4 @@
-"""Publishing a catalogue change to the log service, as operators do."""
+"""Publishes catalogue changes to the log service, for operators."""
 
 import uuid
 
@@ -13,7 +13,7 @@
 
 
 def current(addr):
-    """Returns the catalogue ``State`` the log service holds now.
+    """Returns the current catalogue ``State`` of the log service.
 
     Raises:
         errors.LogServiceError: The log service failed.
@@ -25,11 +25,11 @@
 
 
 def _advance(addr, state):
-    """Brings ``state`` up to what the log service holds now.
+    """Applies to ``state`` all records that the log service has since added.
 
-    It goes on from what it has: a snapshot is only asked for where records
-    that it lacks have expired. A snapshot does not say which change made which
-    version, so one that covered an operator's own change would hide it.
+    A snapshot is used only if records that ``state`` lacks have expired. A
+    snapshot does not contain which change led to which version, so the
+    operator's own change could not be found if a snapshot covered it.
 
     Raises:
         errors.LogServiceError: The log service failed.
@@ -52,26 +52,26 @@
 def publish(addr, doc, author='', base=None):
     """Proposes ``doc`` as the next version; returns the version it became.
 
-    Only what differs from version ``base`` (default: the current one) is
-    written. If another operator changed one of the same items since, ours
-    is rejected by every reader alike and this raises; nothing is
-    overwritten. A reply lost after the write took effect is resolved by
-    reading the stream back and looking for the change's unique id.
+    Only the differences from version ``base`` (default: the current one) are
+    written. If one of the same items has changed since, all readers reject the
+    change and this function raises; nothing is overwritten. If the response to
+    the append is lost, the stream is read back and searched for the unique ID
+    of the change.
 
     Raises:
         errors.StaleVersionError: Another change to the same items was
-            accepted first, or ``base`` is too old to tell.
-        errors.CatalogueError: The document fails its checks.
-        errors.LogServiceError: The change was not written, or it cannot be
-            known whether it was.
+            accepted first, or ``base`` is too old to compare with.
+        errors.CatalogueError: The document is invalid.
+        errors.LogServiceError: The change was not written, or it is unknown
+            whether it was.
     """
     catalogue.validate(doc)
     state = current(addr)
     base = state.version if base is None else base
     if base not in state.history:
         raise errors.StaleVersionError(
-            f'version {base} is no longer known (current: {state.version}); '
-            're-read and publish again')
+            f'version {base} is too old (current: {state.version}); read the '
+            'catalogue and publish again')
     classes, customers, drop = catalogue.diff(state.history[base], doc)
     if not (classes or customers or drop):
         return state.version
@@ -85,7 +85,7 @@
     try:
         logclient.append(addr, STREAM, [msgspec.to_builtins(change)])
     except errors.LogServiceError as exc:
-        # Maybe written anyway; the read below decides.
+        # The change may have been written; the read below decides.
         cause = exc
     _advance(addr, state)
     if change.id in state.accepted:
@@ -93,12 +93,13 @@
         return state.accepted[change.id]
     if change.id in state.rejected:
         raise errors.StaleVersionError(
-            f'based on v{base}, but the same items have changed since '
-            f'(current: v{state.version}); re-read and publish again')
+            f'based on version {base}, but the same items have changed since '
+            f'(current: {state.version}); read the catalogue and publish again')
     raise errors.LogServiceError(
-        f'the change is not in the stream ({cause or "it was written"}); it '
-        'may still arrive if the log service is slow: check with "catalogue '
-        'show" before publishing again') from cause
+        'the change is not in the stream '
+        f'({cause or "the append succeeded"}); it may still appear if the log '
+        'service is slow: check with "catalogue show" before publishing '
+        'again') from cause
 
 
 def _write_snapshot(addr, state):
@@ -106,4 +107,4 @@
         logclient.append(addr, SNAPSHOTS,
                          [msgspec.to_builtins(state.snapshot())])
     except errors.LogServiceError:
-        pass  # The entries write one when the newest grows old.
+        pass  # An entry writes a snapshot when the newest one is too old.
--- a/gorsefall/registry.py
+++ b/gorsefall/registry.py
@@ -1,4 +1,4 @@
-"""Maps the names used in settings and on the command line to classes."""
+"""Maps names in settings and on the command line to classes."""
 
 import dataclasses
 import importlib
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Policy:
-    """An admission class and the router class that goes with it."""
+    """An admission class and its router class."""
     admission: type
     router: type
 
@@ -36,7 +36,7 @@
 def standin(kind):
     """Returns the stand-in class for ``kind``.
 
-    Only the asked module is imported, so that an entry loads no stand-in.
+    Only the requested module is imported, so that an entry loads no stand-in.
 
     Raises:
         KeyError: No stand-in has that name.
@@ -45,7 +45,7 @@
 
 
 def policy(name):
-    """Returns the ``Policy`` called ``name``.
+    """Returns the ``Policy`` named ``name``.
 
     Raises:
         KeyError: No policy has that name.
--- a/gorsefall/settings.py
+++ b/gorsefall/settings.py
@@ -1,4 +1,4 @@
-"""Settings files (TOML), checked at load into typed structures."""
+"""Settings of an entry: TOML files, validated into typed structures."""
 
 import msgspec
 
@@ -7,15 +7,15 @@
 
 
 class Backend(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """A back-end replica the entry may route to.
+    """A back-end replica that the entry may route to.
 
     Attributes:
-        name: Replica name, as the VM list shows it.
+        name: Replica name, as in the VM list.
         kind: ``engine`` (model engine) or ``service`` (plain service).
-        pool: Pool it serves, named by catalogue classes.
+        pool: Pool it belongs to, as named by catalogue classes.
         zone: Availability zone.
         addr: ``host:port``.
-        checks_fence: Whether it refuses orders with stale fencing numbers.
+        checks_fence: Whether it refuses requests with stale fencing tokens.
     """
     name: str
     kind: str
@@ -26,43 +26,43 @@
 
 
 class Entry(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """The entry VM process.
+    """The entry process.
 
     Attributes:
-        name: This entry's name; unique among entries.
-        zone: Its availability zone.
-        listen: ``host:port`` for callers and the balancer.
+        name: Entry name; unique among entries.
+        zone: Availability zone of the entry.
+        listen: ``host:port`` for callers and the load balancer.
         log_service: ``host:port`` of the platform's log service.
         vm_list: ``host:port`` of the platform's VM list, or empty.
-        entries: How many entry VMs share the limits (at least 1), until
-            the VM list shows entries.
-        policy: ``tiers``; ``fifo`` and ``roundrobin`` are baselines for the
-            bench.
-        max_body_bytes: Largest caller body accepted, bytes.
+        entries: Number of entries that share the limits (at least 1), used
+            until the VM list shows entries.
+        policy: ``tiers``; ``fifo`` and ``roundrobin`` are baselines for
+            benchmarks.
+        max_body_bytes: Maximum length of a request body, bytes.
         catalogue_poll_s: Seconds between reads of the catalogue stream.
         load_poll_s: Seconds between load reports read from a busy replica;
-            idle ones are asked a quarter as often.
-        load_polls_per_s: Most load reports read a second, over all replicas.
-        load_max_age_s: Load reports older than this are not trusted, s.
+            idle replicas are polled a quarter as often.
+        load_polls_per_s: Maximum load reports read per second, over all
+            replicas.
+        load_max_age_s: Older load reports are ignored, s.
         vm_poll_s: Seconds between reads of the VM list.
-        snapshot_s: Seconds after which an entry renews the newest catalogue
-            snapshot; well below the log service's retention.
+        snapshot_s: Maximum age of the newest catalogue snapshot, s; an entry
+            then writes a new one. Well below the retention of the log service.
         ledger_poll_s: Seconds between reads of the ledger stream while no
-            claim is under way; a claim reads it at once.
-        ledger_ttl_s: How long an idempotency key is remembered, s.
-        lame_duck_s: Seconds at shutdown during which readiness is already
-            503 but new requests are still served, until the balancer has
-            noticed.
-        peer_poll_s: Seconds between reads of what other entries use of the
+            claim is pending; a claim triggers a read at once.
+        ledger_ttl_s: Lifetime of an idempotency key, s.
+        lame_duck_s: Seconds at shutdown in which readiness is already 503 but
+            new requests are still served, until the load balancer has noticed.
+        peer_poll_s: Seconds between reads of other entries' usage of the
             limits.
-        drain_s: Longest wait for requests in flight at shutdown, s.
-        queue_limit: Requests waiting for a replica, per entry.
-        slots_per_replica: Requests a replica runs at once.
-        pool_slots: The same by pool, where pools differ.
-        link_idle_s: Seconds without a byte from a plain service before the
-            call is given up (a connection that went silent for good).
-        stream_idle_s: The same for engine streams, which carry a heartbeat
-            every 0.5 s.
+        drain_s: Maximum wait for requests in flight at shutdown, s.
+        queue_limit: Maximum requests per entry that wait for a replica.
+        slots_per_replica: Requests that a replica runs concurrently.
+        pool_slots: ``pool -> slots per replica``, for pools that differ.
+        link_idle_s: Idle timeout of calls to plain services, s; detects dead
+            connections.
+        stream_idle_s: Idle timeout of engine streams, s; engines send a
+            heartbeat every 0.5 s.
     """
     name: str
     zone: str
@@ -91,7 +91,7 @@
 
 
 class Settings(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """A whole entry settings file: ``[entry]`` and ``[[backends]]``."""
+    """An entry settings file: ``[entry]`` and ``[[backends]]``."""
     entry: Entry
     backends: list[Backend] = []
 
@@ -106,7 +106,7 @@
     entry = cfg.entry
     for key in _POSITIVE:
         if getattr(entry, key) <= 0:
-            yield f'entry.{key}: must be over 0'
+            yield f'entry.{key}: must be greater than 0'
     if entry.policy not in registry.POLICIES:
         yield (f'entry.policy: {entry.policy!r} is not one of '
                f'{sorted(registry.POLICIES)}')
@@ -119,17 +119,17 @@
         if b.kind not in ('engine', 'service'):
             yield f'backends[{i}].kind: {b.kind!r} is not engine or service'
         if b.name in names:
-            yield f'backends[{i}].name: {b.name!r} twice'
+            yield f'backends[{i}].name: {b.name!r} is used twice'
         names.add(b.name)
         addrs.append((f'backends[{i}].addr', b.addr))
     yield from settingsfile.addr_problems(addrs)
 
 
 def loads(text, source='<string>'):
-    """Parses and checks settings; see ``settingsfile.loads``."""
+    """Parses and validates settings; see ``settingsfile.loads``."""
     return settingsfile.loads(text, Settings, _problems, source)
 
 
 def load(path):
-    """Reads, parses and checks a file; see ``settingsfile.load``."""
+    """Reads, parses and validates a file; see ``settingsfile.load``."""
     return settingsfile.load(path, Settings, _problems)
--- a/gorsefall/settingsfile.py
+++ b/gorsefall/settingsfile.py
@@ -1,4 +1,4 @@
-"""Settings files: TOML read into a typed structure and checked."""
+"""Reads TOML settings files into validated typed structures."""
 
 import tomllib
 
@@ -11,15 +11,15 @@
     """Returns the ``kind`` that TOML ``text`` describes.
 
     Args:
-        text: The file's text.
+        text: Text of the file.
         kind: A ``msgspec.Struct`` type.
-        problems: Called with it; gives what types alone cannot tell, one text
-            for each field at fault.
-        source: What errors name the text by.
+        problems: Called with the decoded structure; yields a message for each
+            field with a fault that its type does not exclude.
+        source: Name of the text in error messages.
 
     Raises:
-        errors.SettingsError: Bad TOML, wrong types, unknown keys, or any
-            problem; all problems are told at once.
+        errors.SettingsError: Invalid TOML, wrong types, unknown keys, or any
+            problem; all problems are reported at once.
     """
     try:
         cfg = msgspec.convert(tomllib.loads(text), kind)
@@ -37,7 +37,7 @@
     """Reads a settings file; see ``loads``.
 
     Raises:
-        errors.SettingsError: It cannot be read, or as ``loads``.
+        errors.SettingsError: The file is unreadable or invalid.
     """
     try:
         with open(path, encoding='utf-8') as f:
@@ -47,13 +47,13 @@
     return loads(text, kind, problems, str(path))
 
 
-def addr_problems(named):
-    """Gives a text for each address that is not ``host:port``.
+def addr_problems(addrs):
+    """Yields a message for each address that is not ``host:port``.
 
     Args:
-        named: ``(key, address)`` pairs.
+        addrs: ``(key, address)`` pairs.
     """
-    for key, text in named:
+    for key, text in addrs:
         try:
             split_addr(text)
         except errors.SettingsError as exc:
@@ -64,7 +64,7 @@
     """Returns ``(host, port)`` of ``"host:port"``.
 
     Raises:
-        errors.SettingsError: The text is not host:port.
+        errors.SettingsError: The text is not ``host:port``.
     """
     host, sep, port = text.rpartition(':')
     if not sep or not port.isdigit():
--- a/gorsefall/streamprotocol.py
+++ b/gorsefall/streamprotocol.py
@@ -1,4 +1,7 @@
-"""How the log service's calls are spelled, for every client of ours."""
+"""Paths, statuses and responses of the log service's HTTP interface.
+
+Shared by the blocking client and the entries' event-driven client.
+"""
 
 import msgspec
 
@@ -11,31 +14,31 @@
 
 
 def append_path(stream):
-    """Returns the path that records are appended to."""
+    """Returns the path for appending records."""
     return f'/streams/{stream}/append'
 
 
 def read_path(stream, start, limit):
-    """Returns the path that gives ``limit`` records from ``start`` on."""
+    """Returns the path for reading ``limit`` records from ``start`` on."""
     return f'/streams/{stream}/read?start={start}&limit={limit}'
 
 
 def decode_page(status, obj, exc=None):
-    """Returns the ``messages.StreamPage`` of an answer to a read.
+    """Returns the ``messages.StreamPage`` in the response to a read.
 
     Args:
-        status: Its HTTP status, None without an answer.
-        obj: Its decoded body.
-        exc: Why there is no whole answer, or None.
+        status: HTTP status; None if there was no response.
+        obj: Decoded body.
+        exc: Why the response is missing or incomplete, or None.
 
     Raises:
-        errors.LogServiceError: It is no page.
+        errors.LogServiceError: The response contains no valid page.
     """
     if exc is not None or status not in (OK_STATUS, GONE_STATUS):
         raise errors.LogServiceError(f'status {status}: {exc or obj}')
     try:
-        found = msgspec.convert(obj, messages.StreamPage)
-    except msgspec.ValidationError as bad:
-        raise errors.LogServiceError(f'unreadable answer: {bad}') from bad
-    found.expired = status == GONE_STATUS
-    return found
+        page = msgspec.convert(obj, messages.StreamPage)
+    except msgspec.ValidationError as cause:
+        raise errors.LogServiceError(f'malformed response: {cause}') from cause
+    page.expired = status == GONE_STATUS
+    return page
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,16 +1,16 @@
-"""What every test starts with."""
+"""Fixtures of all tests."""
 
 import pytest
 import structlog
 
 
 @pytest.fixture(autouse=True)
-def own_logs():
-    """Keeps a test's log settings to itself.
+def reset_logging():
+    """Resets the process-wide logging configuration.
 
-    Symptom: a test fails with "I/O operation on closed file". Sequence: an
-    earlier one runs the command line, which sets logging to its captured
-    stderr; that is closed with it. Cause: logging is set for the process.
+    A test that runs the command line configures logging to its captured
+    stderr, which is closed after the test. Later tests would fail with "I/O
+    operation on closed file".
     """
     structlog.reset_defaults()
     yield
--- a/tests/test_publish.py
+++ b/tests/test_publish.py
@@ -1,4 +1,4 @@
-"""What an operator is told of a change, whatever else is written meanwhile."""
+"""Publishing reports the correct result despite concurrent writes."""
 
 import msgspec
 import pytest
@@ -13,7 +13,7 @@
 
 
 class Log:
-    """The log service's streams, without network.
+    """An in-memory log service.
 
     Attributes:
         streams: ``name -> [(offset, data)]``.
@@ -24,7 +24,7 @@
         self.streams = {publish.STREAM: [], publish.SNAPSHOTS: []}
         self._ends = dict.fromkeys(self.streams, 0)
         self.after_append = lambda stream: None
-        self.lose = False
+        self.lose_reply = False
 
     def append(self, addr, stream, records):
         offset = self._ends[stream]
@@ -32,14 +32,14 @@
             self.streams[stream].append((self._ends[stream], data))
             self._ends[stream] += 1
         self.after_append(stream)
-        if self.lose:
+        if self.lose_reply:
             raise errors.LogServiceError('reply lost')
         return offset
 
     def read_all(self, addr, stream, start=0):
-        kept = self.streams[stream]
-        first = kept[0][0] if kept else self._ends[stream]
-        out = [messages.StreamRecord(o, d) for o, d in kept if o >= start]
+        retained = self.streams[stream]
+        first = retained[0][0] if retained else self._ends[stream]
+        out = [messages.StreamRecord(o, d) for o, d in retained if o >= start]
         return out, max(start, first), self._ends[stream]
 
     def trim(self, stream, keep):
@@ -48,10 +48,10 @@
 
 @pytest.fixture
 def log(monkeypatch):
-    found = Log()
-    monkeypatch.setattr(logclient, 'append', found.append)
-    monkeypatch.setattr(logclient, 'read_all', found.read_all)
-    return found
+    service = Log()
+    monkeypatch.setattr(logclient, 'append', service.append)
+    monkeypatch.setattr(logclient, 'read_all', service.read_all)
+    return service
 
 
 def _doc(rate):
@@ -59,45 +59,42 @@
     return catalogue.Document(customers=[limits])
 
 
-def _snapshot_by_an_entry(log):
-    """Has an entry renew the snapshot right after the next change."""
+def _write_snapshot_after_next_change(log):
+    """Simulates an entry that writes a snapshot right after the next change."""
 
-    def renew(stream):
+    def write(stream):
         if stream == publish.STREAM:
             log.after_append = lambda stream: None
             state = publish.current(ADDR)
             log.append(ADDR, publish.SNAPSHOTS,
                        [msgspec.to_builtins(state.snapshot())])
 
-    log.after_append = renew
+    log.after_append = write
 
 
 def test_a_snapshot_that_covers_the_change_does_not_hide_it(log):
-    """An accepted change that its operator is told may be lost.
-
-    Symptom: "the change is not in the stream", seen once in a scenario of two
-    operators, right after one that had old records expire. Sequence: old
-    records are gone, so states start from the newest snapshot; an operator's
-    change is appended; an entry, whose snapshot is due, adds one that covers
-    it; the operator reads back and starts behind the change. Cause: reading
-    back forgot what was known before, and with it which change made which
-    version.
+    """Reading back must continue from the state before the append.
+
+    Otherwise an accepted change is reported as "not in the stream": old
+    records have expired, an entry writes a snapshot that covers the new
+    change, and reading back starts from that snapshot, which does not contain
+    which change led to which version.
     """
     for rate in (1.0, 2.0, 3.0):
         publish.publish(ADDR, _doc(rate))
     log.trim(publish.STREAM, 1)
-    _snapshot_by_an_entry(log)
+    _write_snapshot_after_next_change(log)
     assert publish.publish(ADDR, _doc(4.0)) == 4
 
 
 def test_a_change_whose_reply_was_lost_is_found(log):
     publish.publish(ADDR, _doc(1.0))
-    log.lose = True
+    log.lose_reply = True
     assert publish.publish(ADDR, _doc(2.0)) == 2
 
 
 def test_records_that_expire_while_publishing(log):
-    """What expires between both reads is made good by a snapshot."""
+    """Records that expire between both reads are replaced by a snapshot."""
     for rate in (1.0, 2.0, 3.0):
         publish.publish(ADDR, _doc(rate))
 
@@ -109,8 +106,8 @@
     assert publish.publish(ADDR, _doc(4.0)) == 4
 
 
-def test_why_a_change_was_not_written_is_told(log, monkeypatch):
-    """Symptom: an operator reads that a change may yet come, and not why."""
+def test_the_error_contains_why_a_change_was_not_written(log, monkeypatch):
+    """The cause must follow the text that the change may still appear."""
     publish.publish(ADDR, _doc(1.0))
 
     def refuse(addr, stream, records):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the own wire's entry: what is wrong is told, all of it."""
+"""Settings of an entry: all faults are reported at once."""
 
 import pytest
 
@@ -29,9 +29,11 @@
 """
 
 
-def test_all_faults_are_told_at_once():
-    """Symptom: an operator mends one line, starts, and is told the next.
-    Cause: the first fault ended the check."""
+def test_all_faults_are_reported_at_once():
+    """Validation must not stop at the first fault.
+
+    Otherwise an operator corrects one line at a time, with a start for each.
+    """
     with pytest.raises(errors.SettingsError) as info:
         settings.loads(FAULTY, 'x.toml')
     for named in ('x.toml', 'entry.entries', 'entry.listen', 'nowhere',
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""Two sites on one machine do not meet."""
+"""Two sites on one machine don't interfere."""
 
 import pathlib
 
@@ -10,11 +10,10 @@
 
 
 def test_two_sites_run_side_by_side(tmp_path):
-    """Two suites at once.
+    """Sites must not use fixed ports.
 
-    Symptom: scenarios failed beside a second run and never alone.
-    Sequence: two sites start on one machine with the same settings.
-    Cause: fixed ports; the second site's entries spoke to the first's log.
+    Otherwise scenarios fail whenever a second suite runs on the machine, as
+    the entries of one site connect to the log service of the other.
     """
     with ports.site(SITE, tmp_path / 'one') as one, ports.site(
             SITE, tmp_path / 'two') as two:
@@ -30,12 +29,12 @@
                 assert all(p.poll() is None for p in second.values())
 
 
-def test_a_port_is_reserved_while_its_site_lasts():
-    """Port given twice.
+def test_a_port_is_reserved_while_its_site_exists():
+    """A free port must be reserved, not only found.
 
-    Symptom: a stand-in that cannot listen. Sequence: two harnesses ask for a
-    port before either process listens. Cause: free is not reserved.
+    Otherwise two harnesses get the same port before either process listens on
+    it, and one of the stand-ins cannot start.
     """
-    with ports.free() as take, ports.free() as other:
-        mine = {take() for _ in range(50)}
-        assert mine.isdisjoint({other() for _ in range(50)})
+    with ports.free() as take, ports.free() as take_other:
+        taken = {take() for _ in range(50)}
+        assert taken.isdisjoint({take_other() for _ in range(50)})
