--- a/gorsefall/lazyimports.py
+++ b/gorsefall/lazyimports.py
@@ -1,9 +1,10 @@
-"""Libraries without the parts that an entry does not use.
+"""Lazy loading of library packages, to save memory.
 
-A package's own start imports all of it, and with it servers, event loops and
-parsers: two fifths of an entry's memory. Here a package starts empty; what is
-asked of it comes from the submodule that defines it, and anything that is not
-listed has the whole package started as usual.
+The ``__init__`` modules of some libraries import servers, event loops and
+parsers that an entry does not use; these would take two fifths of its memory.
+Such a package is installed without running its ``__init__``. A listed
+attribute is imported from the submodule that defines it; any other attribute
+runs the ``__init__`` as usual.
 """
 
 import importlib
@@ -38,30 +39,31 @@
 
 
 def install():
-    """Has the packages that were not imported yet start empty."""
-    for name, homes in PACKAGES.items():
+    """Makes the packages lazy that have not been imported yet."""
+    for name, submodules in PACKAGES.items():
         if name not in sys.modules:
-            _install(name, homes)
+            _install(name, submodules)
 
 
-def _install(name, homes):
+def _install(name, submodules):
     spec = importlib.util.find_spec(name)
     package = importlib.util.module_from_spec(spec)
 
-    def find(attribute):
+    def get_attribute(attribute):
         if attribute.startswith('__'):
             raise AttributeError(attribute)
-        if attribute in homes:
-            home = importlib.import_module(f'{name}.{homes[attribute]}')
-            return getattr(home, attribute)
+        if attribute in submodules:
+            submodule = importlib.import_module(
+                f'{name}.{submodules[attribute]}')
+            return getattr(submodule, attribute)
         if importlib.util.find_spec(f'{name}.{attribute}') is not None:
             return importlib.import_module(f'{name}.{attribute}')
         del package.__getattr__
         spec.loader.exec_module(package)
         return getattr(package, attribute)
 
-    package.__getattr__ = find
+    package.__getattr__ = get_attribute
     sys.modules[name] = package
-    parent, _, own = name.rpartition('.')
+    parent, _, child = name.rpartition('.')
     if parent:
-        setattr(sys.modules[parent], own, package)
+        setattr(sys.modules[parent], child, package)
--- a/tests/test_lean.py
+++ b/tests/test_lazyimports.py
@@ -1,4 +1,4 @@
-"""Libraries that start without what an entry does not use."""
+"""Library packages are imported without the parts an entry doesn't use."""
 
 import pathlib
 import subprocess
@@ -8,7 +8,7 @@
 
 UNUSED = ('pkg_resources', 'http.server', 'wsgiref', 'xml', 'structlog.stdlib',
           'circuits.core.workers', 'circuits.core.bridge')
-"""What the libraries' packages bring in and an entry never calls."""
+"""Modules that the libraries import and an entry never uses."""
 
 
 def _run(code):
@@ -34,16 +34,16 @@
 """
 
 
-def test_an_entry_does_not_load_what_it_does_not_use():
-    """Two fifths of each entry's memory."""
+def test_an_entry_does_not_load_unused_modules():
+    """The unused modules would take two fifths of an entry's memory."""
     out = _run(START + 'print(*sys.modules, sep="\\n")')
     loaded = set(out.split('\n'))
     assert 'gorsefall.relay.node' in loaded
     assert not loaded & set(UNUSED)
 
 
-def test_what_is_not_listed_is_found_all_the_same():
-    """A missing name, only where it is first used."""
+def test_attributes_that_are_not_listed_are_found():
+    """A missing one would raise an error only where it is first used."""
     _run(START + """
 import circuits, prometheus_client, structlog
 prometheus_client.generate_latest(prometheus_client.CollectorRegistry())
