--- a/gorsefall/emulator/__init__.py
+++ b/gorsefall/emulator/__init__.py
@@ -1,6 +1,7 @@
-"""Emulates engines under a load, to compare ways of placing requests.
+"""Discrete-event simulation of engines under load.
 
-No network and no clock of its own: entries, engines and requests are objects
-driven in order of time, deterministic by seed. The decisions are those of the
-product's ``policy`` modules; sites and loads are TOML files.
+Compares placement policies without network or real time: entries, engines and
+requests are objects whose events are processed in order of simulated time,
+deterministically for a seed. Decisions are made by the ``policy`` modules that
+the entries use; sites and loads are TOML files.
 """
--- a/gorsefall/emulator/clock.py
+++ b/gorsefall/emulator/clock.py
@@ -1,11 +1,15 @@
-"""Time as emulated processes see it: timers in order, and nothing else."""
+"""Simulated time: a clock and its timers."""
 
 import heapq
 import itertools
 
 
 class Loop:
-    """A clock and its timers."""
+    """An event loop in simulated time.
+
+    Attributes:
+        now: Simulated time, s.
+    """
 
     def __init__(self):
         self.now = 0.0
@@ -13,12 +17,12 @@
         self._count = itertools.count()
 
     def call_later(self, delay_s, callback):
-        """Calls ``callback()`` after a time, s."""
+        """Calls ``callback()`` after ``delay_s`` seconds."""
         heapq.heappush(self._due,
                        (self.now + delay_s, next(self._count), callback))
 
     def run(self, until_s):
-        """Lets time pass."""
+        """Advances the clock to ``until_s`` and runs the timers due by then."""
         while self._due and self._due[0][0] <= until_s:
             self.now, _, callback = heapq.heappop(self._due)
             callback()
--- a/gorsefall/emulator/compare.py
+++ b/gorsefall/emulator/compare.py
@@ -1,4 +1,4 @@
-"""Plays a site by every policy and prints, writes or draws what came of it."""
+"""Simulates sites with several policies and formats or plots the results."""
 
 import msgspec
 
@@ -7,15 +7,15 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One play.
+    """The result of one simulation.
 
     Attributes:
         site: Name of the site.
         policy: Name of the policy.
-        seed: Seed of the draws.
-        worth: Worth earned of the worth asked for, 0 to 1.
-        on_time: ``kind name -> share on time``, 0 to 1.
-        refused: ``kind name -> share refused for good``, 0 to 1.
+        seed: Seed of the random generators.
+        worth: Value earned as a share of the value of all requests, 0 to 1.
+        on_time: ``kind name -> share of requests on time``, 0 to 1.
+        refused: ``kind name -> share of requests finally refused``, 0 to 1.
     """
     site: str
     policy: str
@@ -26,16 +26,16 @@
 
 
 def rows(sites, seeds, seconds, names=tuple(policies.POLICIES)):
-    """Gives a ``Row`` for each site, policy and seed."""
+    """Yields a ``Row`` for each site, policy and seed."""
     for site in sites:
         for name in names:
             for seed in range(seeds):
-                got = simulation.simulate(site,
-                                          policy=policies.POLICIES[name],
-                                          seconds=seconds,
-                                          seed=seed)
-                yield Row(site.name, name, seed, got.worth, got.on_time,
-                          got.refused)
+                result = simulation.simulate(site,
+                                             policy=policies.POLICIES[name],
+                                             seconds=seconds,
+                                             seed=seed)
+                yield Row(site.name, name, seed, result.worth, result.on_time,
+                          result.refused)
 
 
 def format_row(row):
@@ -45,22 +45,22 @@
             f'worth {row.worth:.3f}')
 
 
-def plot(found, path):
-    """Draws the worth of each site and policy, one dot a seed, to ``path``."""
+def plot(results, path):
+    """Plots the value earned by site and policy to ``path``, a dot per seed."""
     import matplotlib
     matplotlib.use('Agg')
     from matplotlib import pyplot
     figure, axes = pyplot.subplots(figsize=(8, 4))
-    sites = sorted({row.site for row in found})
-    for name in sorted({row.policy for row in found}):
-        mine = [row for row in found if row.policy == name]
-        axes.plot([sites.index(row.site) for row in mine],
-                  [row.worth for row in mine],
+    sites = sorted({row.site for row in results})
+    for name in sorted({row.policy for row in results}):
+        own = [row for row in results if row.policy == name]
+        axes.plot([sites.index(row.site) for row in own],
+                  [row.worth for row in own],
                   'o',
                   label=name,
                   alpha=0.6)
     axes.set_xticks(range(len(sites)), sites, rotation=60)
-    axes.set_ylabel('worth earned of worth asked for')
+    axes.set_ylabel('share of value earned')
     axes.legend()
     figure.tight_layout()
     figure.savefig(path, dpi=100)
--- a/gorsefall/emulator/crashing.py
+++ b/gorsefall/emulator/crashing.py
@@ -1,8 +1,9 @@
-"""Requests that crash replicas, and good ones beside them, before many entries.
+"""Simulates poison requests and good requests at a site with many entries.
 
-Each entry has its own ``relay.crashes.CrashTracker``; what they tell each
-other is late and at times lost. Both errors are counted: runs of a guilty
-request that are too many, and good requests that are refused.
+A poison request crashes each replica that runs it. Each entry has its own
+``relay.crashes.CrashTracker``; messages between entries are delayed and may be
+lost. The simulation counts both kinds of error: runs of poison requests, and
+good requests that are refused.
 """
 
 import collections
@@ -20,24 +21,24 @@
 from gorsefall.relay import prober
 
 ONE_WAY_DELAY_S = 0.002
-"""Time of a message, or of a look at a replica, s."""
+"""Delay of a message, and of a probe of a replica, s."""
 
 CRASH_DELAY_S = 0.08
-"""Time from the start of a guilty run to its replica's end, s."""
+"""Time from the start of a poison run to the crash of its replica, s."""
 
 REPLICA_RESTART_S = 3.0
-"""Time until a replica that crashed is back as a new start, s."""
+"""Time until a crashed replica is up again as a new incarnation, s."""
 
 MAX_ATTEMPTS = 2
-"""Replicas that one attempt of a caller is sent to."""
+"""Replicas that an entry sends one request of a caller to, at most."""
 
 CALLER_RETRY_DELAY_S = 0.3
-"""Pause after which a caller comes back after a failure, once, s."""
+"""Delay after which a caller retries a failed request, once, s."""
 
 
 @dataclasses.dataclass(eq=False)
 class Replica:
-    """One start of a replica; has what ``crashes`` sees of one."""
+    """One incarnation of a replica, with what ``crashes`` uses of it."""
     record: object
     record_lapsed: bool = False
     exited_at: float | None = None
@@ -46,7 +47,7 @@
 
 
 class Entry:
-    """An entry; is the ``peers`` and the ``prober`` of its ``CrashTracker``."""
+    """An entry, which is also the peers and prober of its ``CrashTracker``."""
 
     def __init__(self, site, number):
         self.site = site
@@ -54,7 +55,7 @@
         self.start()
 
     def start(self):
-        """Starts a process, which knows nothing."""
+        """Starts a new process, without any state."""
         self.crashes = crashes.CrashTracker(self.site.loop, self, self.site,
                                             lambda: self.site.loop.now)
         self.crashes.start(self)
@@ -73,17 +74,17 @@
                         message.run_reports), other)
 
     def send(self, message, host):
-        """See ``peers.Peers``; a host is an entry's number."""
-        answer = getattr(message, 'run_reports', None)
-        if answer is None:
+        """See ``peers.Peers``; ``host`` is the number of an entry."""
+        run_reports = getattr(message, 'run_reports', None)
+        if run_reports is None:
             self._send(lambda entry: entry.crashes.send_suspects(self.number),
                        self.site.entries[host])
         else:
-            self._send(lambda entry: entry.crashes.merge_reports(answer),
+            self._send(lambda entry: entry.crashes.merge_reports(run_reports),
                        self.site.entries[host])
 
     def broadcast_status(self):
-        """Tells all others what was seen here."""
+        """Sends the status to all other entries, and schedules the next one."""
         status = membership.Status(
             f'e{self.number}',
             1,
@@ -95,48 +96,48 @@
                 self._send(
                     lambda entry: entry.crashes.handle_status(
                         status, self.number), other)
-        spread = self.site.rng.uniform(*peers.PAUSE_JITTER)
-        self.site.loop.call_later(self.site.heartbeat_s * spread,
+        jitter = self.site.rng.uniform(*peers.PAUSE_JITTER)
+        self.site.loop.call_later(self.site.heartbeat_s * jitter,
                                   self.broadcast_status)
 
-    def _send(self, arrive, other):
-        if self.site.rng.random() >= self.site.lost:
-            self.site.loop.call_later(ONE_WAY_DELAY_S, lambda: arrive(other))
+    def _send(self, deliver, other):
+        if self.site.rng.random() >= self.site.loss:
+            self.site.loop.call_later(ONE_WAY_DELAY_S, lambda: deliver(other))
 
 
 class CallerRequest:
-    """One attempt of a caller at an entry."""
+    """One request of a caller at an entry."""
 
-    def __init__(self, site, digest, run_s, *, poison, back=True):
+    def __init__(self, site, digest, run_s, *, poison, retries=True):
         self._site = site
         self._digest = digest
         self._run_s = run_s
         self._poison = poison
-        self._back = back
+        self._retries = retries
         self._entry = site.rng.choice(site.entries)
-        self._left = MAX_ATTEMPTS
+        self._attempts_left = MAX_ATTEMPTS
         self._sent_at = 0.0
         self.dispatch()
 
     def dispatch(self):
-        """Sends it to a replica, unless it is blocked."""
-        known = self._entry.crashes
+        """Sends the request to a replica, unless it is blocked or parked."""
+        tracker = self._entry.crashes
         try:
-            if not known.try_begin_run(self._digest, self):
+            if not tracker.try_begin_run(self._digest, self):
                 return
         except errors.PoisonRequestError:
             self._end('refused')
             return
-        self._left -= 1
+        self._attempts_left -= 1
         replica = self._site.rng.choice(self._site.live_replicas())
         self._sent_at = self._site.loop.now
         replica.runs.add(self)
         if self._poison:
             self._site.poison_runs.append(self._sent_at)
         wait_s = CRASH_DELAY_S if self._poison else self._run_s
-        self._site.loop.call_later(wait_s, lambda: self._over(replica))
+        self._site.loop.call_later(wait_s, lambda: self._finish(replica))
 
-    def _over(self, replica):
+    def _finish(self, replica):
         if self not in replica.runs:
             return
         if self._poison:
@@ -147,49 +148,50 @@
         self._end('served')
 
     def on_replica_exit(self, replica):
-        """Called when its replica ended."""
-        known = self._entry.crashes
+        """Called when its replica has crashed."""
+        tracker = self._entry.crashes
         run = crashes.BrokenRun(self._digest,
                                 self._sent_at,
                                 None,
-                                after_broken_run=self._left < MAX_ATTEMPTS - 1)
-        known.handle_broken_run(replica, run, self._after)
+                                after_broken_run=self._attempts_left
+                                < MAX_ATTEMPTS - 1)
+        tracker.handle_broken_run(replica, run, self._retry_or_fail)
 
-    def _after(self):
-        held = self._entry.crashes.suspects.must_serialize(self._digest)
-        if self._left and not held:
+    def _retry_or_fail(self):
+        serialized = self._entry.crashes.suspects.must_serialize(self._digest)
+        if self._attempts_left and not serialized:
             self.dispatch()
         else:
             self._end('failed')
 
     def _end(self, outcome):
         self._entry.crashes.end_run(self._digest, self)
-        if outcome == 'failed' and self._back:
-            self._site.loop.call_later(CALLER_RETRY_DELAY_S, self._return)
+        if outcome == 'failed' and self._retries:
+            self._site.loop.call_later(CALLER_RETRY_DELAY_S, self._caller_retry)
         elif not self._poison:
             self._site.good_outcomes[outcome] += 1
 
-    def _return(self):
+    def _caller_retry(self):
         CallerRequest(self._site,
                       self._digest,
                       self._run_s,
                       poison=self._poison,
-                      back=False)
+                      retries=False)
 
 
 class Site:
-    """Entries before replicas; also the ``fleet`` that ``crashes`` asks.
+    """Entries and replicas, which is also the fleet of the ``CrashTracker``.
 
     Attributes:
         replicas: ``id -> Replica``.
-        poison_runs: When runs of guilty requests began, s.
-        good_outcomes: How good requests ended.
+        poison_runs: Start times of the runs of poison requests, s.
+        good_outcomes: ``outcome -> number of good requests``.
     """
 
-    def __init__(self, entries, replicas, seed, *, lost=0.02):
+    def __init__(self, entries, replicas, seed, *, loss=0.02):
         self.loop = clock.Loop()
         self.rng = random.Random(seed)
-        self.lost = lost
+        self.loss = loss
         self.heartbeat_s = max(peers.MAX_PAUSE_S,
                                entries / peers.MAX_MESSAGES_PER_S)
         self.replicas = {}
@@ -197,13 +199,13 @@
         self.good_outcomes = collections.Counter()
         self._starts = itertools.count()
         for _ in range(replicas):
-            self._add()
+            self._add_replica()
         self.entries = [Entry(self, i) for i in range(entries)]
         for entry in self.entries:
             self.loop.call_later(self.rng.uniform(0, self.heartbeat_s),
                                  entry.broadcast_status)
 
-    def _add(self):
+    def _add_replica(self):
         name = f'r{next(self._starts)}'
         record = types.SimpleNamespace(id=name,
                                        started_at_ms=0,
@@ -219,17 +221,17 @@
         return [r for r in self.replicas.values() if r.up]
 
     def crash(self, replica):
-        """Ends a replica, with all that runs there."""
+        """Crashes a replica, with all requests that run there."""
         replica.up = False
         runs, replica.runs = replica.runs, set()
-        self.loop.call_later(REPLICA_RESTART_S, lambda: self._back(replica))
+        self.loop.call_later(REPLICA_RESTART_S, lambda: self._restart(replica))
         for run in sorted(runs, key=id):
             run.on_replica_exit(replica)
 
-    def _back(self, replica):
+    def _restart(self, replica):
         del self.replicas[replica.record.id]
-        self._add()
+        self._add_replica()
 
     def submit(self, digest, run_s, *, poison=False):
-        """A caller's request comes to an entry."""
+        """Sends a caller's request to an entry."""
         CallerRequest(self, digest, run_s, poison=poison)
--- a/gorsefall/emulator/engine.py
+++ b/gorsefall/emulator/engine.py
@@ -1,4 +1,4 @@
-"""One engine: reads prompts in chunks between the tokens of other requests."""
+"""Simulates an engine with continuous batching and chunked prefill."""
 
 import collections
 import dataclasses
@@ -8,30 +8,33 @@
 from gorsefall.policy import placement
 
 RETRANSMIT_DELAY_MS = 250.0
-"""How much later what a link lost arrives, ms: the shortest time-out of the
-usual TCP implementations is 200, and the next try may be lost too."""
+"""Additional delay of an event whose packet is lost, ms.
+
+The minimum retransmission timeout of common TCP implementations is 200 ms, and
+the retransmission may be lost too."""
 
 
 @dataclasses.dataclass(eq=False)
 class Request:
-    """One request of a caller, and how far it is.
+    """One request of a caller, and its progress.
 
     Attributes:
-        kind: Its ``site.RequestKind``.
-        at_ms: When its caller first sent it.
-        entry: Number of the entry that has it.
-        session: Shared part its prompt goes on from.
-        own_tokens: Tokens of its own part.
-        tokens_out: Tokens it writes.
-        prefill_left: Tokens that its engine has yet to read.
-        decoded: Tokens written.
-        last_contact_ms: When its caller last heard of it.
-        last_event_ms: When its last event came.
-        sent_ms: When its entry sent it.
+        kind: The ``site.RequestKind``.
+        at_ms: When the caller first sent it, ms.
+        entry: Number of the entry that handles it.
+        session: Name of the session, whose requests share a prompt prefix.
+        own_tokens: Length of the prompt after the shared prefix, tokens.
+        tokens_out: Length of the response, tokens.
+        prefill_left: Prompt tokens still to prefill.
+        decoded: Tokens decoded so far.
+        last_contact_ms: When it was sent or its caller last received an
+            event, ms.
+        last_event_ms: When its last event arrived, ms.
+        sent_ms: When its entry sent it, ms.
         target: The entry's ``knowledge.ReplicaView`` of its engine.
-        choice: The ``placement.Choice`` that its entry made.
-        on_time: Whether it may still be on time.
-        is_retry: Whether it was refused once and came back.
+        choice: The ``placement.Choice`` of its entry.
+        on_time: Whether it has met its latency targets so far.
+        is_retry: Whether it is the caller's retry after a refusal.
     """
     kind: sites.RequestKind
     at_ms: float
@@ -51,129 +54,130 @@
 
     @property
     def prompt(self):
-        """Tokens of its whole prompt."""
+        """Length of the whole prompt, tokens."""
         return self.own_tokens + self.kind.shared
 
     def abandoned(self, now_ms):
-        """Whether its caller has given up."""
+        """Returns whether its caller has given up."""
         return (now_ms - self.at_ms > self.kind.patience_ms or
                 now_ms - self.last_contact_ms > self.kind.silence_ms)
 
 
 class Engine:
-    """One replica.
+    """One engine.
 
     Attributes:
-        name: Its name.
-        up: Whether it runs.
-        slowdown: How many times slower than its data sheet it is.
+        name: Name of the engine.
+        up: Whether it is running.
+        slowdown: Factor of the step time while a fault lasts.
     """
 
-    def __init__(self, name, sheet, speed, rng, loss=0.0):
-        """Creates an engine that is up and holds nothing.
+    def __init__(self, name, spec, speed, rng, loss=0.0):
+        """Creates an engine that is up and idle, with an empty cache.
 
         Args:
-            name: Its name.
-            sheet: The ``site.EngineSpec``.
-            speed: Times that its steps take.
-            rng: Source of the losses.
-            loss: Part of its events that the link loses.
+            name: Name of the engine.
+            spec: The ``site.EngineSpec``.
+            speed: Factor of the step time.
+            rng: Random generator for lost events.
+            loss: Share of its events that are lost on the way, 0 to 1.
         """
         self.name = name
-        self._sheet = sheet
+        self._spec = spec
         self._speed = speed
         self._rng = rng
         self._loss = loss
         self.up = True
         self.slowdown = 1.0
         self._waiting = []
-        self._reading = collections.deque()
-        self._writing = []
+        self._prefilling = collections.deque()
+        self._decoding = []
         self._cached = collections.OrderedDict()
-        self._begun = []
+        self._started = []
 
-    # -- what comes and goes ---------------------------------------------------
+    # -- queue -----------------------------------------------------------------
 
     def admit(self, req):
-        """Takes a request; the more urgent go first among the waiting."""
+        """Queues a request, in order of priority and arrival."""
         at = len(self._waiting)
         while at and (self._waiting[at - 1].kind.priority > req.kind.priority):
             at -= 1
         self._waiting.insert(at, req)
 
     def crash(self):
-        """Loses all it holds; returns the requests that were there."""
-        lost = [*self._waiting, *self._reading, *self._writing]
+        """Stops the engine; returns the requests that it has lost."""
+        lost = [*self._waiting, *self._prefilling, *self._decoding]
         self.up = False
         self._waiting.clear()
-        self._reading.clear()
-        self._writing.clear()
+        self._prefilling.clear()
+        self._decoding.clear()
         self._cached.clear()
         return lost
 
     @property
     def running(self):
-        """Requests that have a slot, their number."""
-        return len(self._reading) + len(self._writing)
+        """Number of requests that have a slot."""
+        return len(self._prefilling) + len(self._decoding)
 
     @property
     def busy(self):
-        """Whether there is work for another step."""
-        return bool(self._waiting or self._reading or self._writing)
+        """Whether any request is queued or running."""
+        return bool(self._waiting or self._prefilling or self._decoding)
 
     def report_load(self, target, now_ms):
-        """Reports its load, as an answer's head may do."""
-        if self._sheet.tells_load:
-            unread = len(self._waiting) + max(0, len(self._reading) - 1)
-            target.record_load(self.running, unread, now_ms / 1000)
+        """Reports its load, as response headers may do."""
+        if self._spec.tells_load:
+            unprefilled = len(self._waiting) + max(0, len(self._prefilling) - 1)
+            target.record_load(self.running, unprefilled, now_ms / 1000)
 
-    # -- memory ----------------------------------------------------------------
+    # -- prefill and cache -----------------------------------------------------
 
-    def _start(self):
-        """Lets waiting requests begin while the step has tokens to read left.
+    def _start_queued(self):
+        """Starts queued requests while the next step can prefill more tokens.
 
-        A prompt that is being read goes on first; behind it the more urgent
-        go first, as they do while they wait.
+        Prompts whose prefill has started go first; the others follow in the
+        order of the queue.
         """
-        left = self._sheet.chunk - sum(r.prefill_left for r in self._reading)
-        while left > 0 and self._waiting and self.running < self._sheet.slots:
+        left = self._spec.chunk - sum(r.prefill_left for r in self._prefilling)
+        while left > 0 and self._waiting and self.running < self._spec.slots:
             req = self._waiting.pop(0)
-            req.prefill_left = req.own_tokens + self._missing(req)
+            req.prefill_left = req.own_tokens + self._uncached_tokens(req)
             left -= req.prefill_left
-            self._reading.append(req)
+            self._prefilling.append(req)
 
-    def _missing(self, req):
-        """Returns the shared tokens that are not cached; they are from now."""
-        known = req.session in self._cached
+    def _uncached_tokens(self, req):
+        """Returns the tokens of the shared prefix to prefill, and caches it."""
+        cached = req.session in self._cached
         self._cached[req.session] = req.kind.shared
         self._cached.move_to_end(req.session)
-        if not known and req.choice.fetch_source is not None:
-            # Taken as if the engine read for as long as the transfer lasts.
-            return int(req.kind.shared * self._sheet.fetch_ms *
-                       self._sheet.tokens_per_ms)
-        held = sum(r.own_tokens + r.decoded for r in self._writing)
+        if not cached and req.choice.fetch_source is not None:
+            # Modelled as prefill that takes as long as the transfer.
+            return int(req.kind.shared * self._spec.fetch_ms *
+                       self._spec.tokens_per_ms)
+        decoding_tokens = sum(r.own_tokens + r.decoded for r in self._decoding)
         while (len(self._cached) > 1 and
-               held + sum(self._cached.values()) > self._sheet.kv_tokens):
+               decoding_tokens + sum(self._cached.values())
+               > self._spec.kv_tokens):
             self._cached.popitem(last=False)
-        return 0 if known else req.kind.shared
+        return 0 if cached else req.kind.shared
 
     # -- steps -----------------------------------------------------------------
 
     def step_ms(self):
-        """Returns how long the next step takes, ms."""
-        self._start()
-        sheet = self._sheet
-        step = sheet.step_ms + sheet.step_ms_per_request * self.running
+        """Starts queued requests; returns the time of the next step, ms."""
+        self._start_queued()
+        spec = self._spec
+        step = spec.step_ms + spec.step_ms_per_request * self.running
         for req, chunk in self._chunks():
             before = req.prompt - req.prefill_left
-            step += (chunk / sheet.tokens_per_ms +
-                     sheet.pairs_ms_per_m * chunk * (before + chunk / 2) / 1e6)
+            step += (chunk / spec.tokens_per_ms + spec.pairs_ms_per_m * chunk *
+                     (before + chunk / 2) / 1e6)
         return step * self._speed * self.slowdown
 
     def _chunks(self):
-        """Gives ``(request, tokens)`` of what the next step reads."""
-        left = self._sheet.chunk
-        for req in self._reading:
+        """Yields ``(request, tokens)`` for the prefill of the next step."""
+        left = self._spec.chunk
+        for req in self._prefilling:
             if not left:
                 return
             chunk = min(left, req.prefill_left)
@@ -181,47 +185,47 @@
             yield req, chunk
 
     def step(self, now_ms):
-        """Ends one step; returns the requests that are done or given up."""
-        lost = self._give_up(now_ms)
-        for req in self._writing:
-            self._write(req, now_ms)
+        """Completes a step; returns the requests that are done or abandoned."""
+        abandoned = self._remove_abandoned(now_ms)
+        for req in self._decoding:
+            self._decode(req, now_ms)
         for req, chunk in list(self._chunks()):
             req.prefill_left -= chunk
-        while self._reading and self._reading[0].prefill_left <= 0:
-            req = self._reading.popleft()
-            self._writing.append(req)
-            self._first(req, now_ms)
-        done = [r for r in self._writing if r.decoded >= r.tokens_out]
-        self._writing = [r for r in self._writing if r.decoded < r.tokens_out]
-        return done + lost
-
-    def _give_up(self, now_ms):
-        lost = [
-            r for r in (*self._waiting, *self._reading, *self._writing)
+        while self._prefilling and self._prefilling[0].prefill_left <= 0:
+            req = self._prefilling.popleft()
+            self._decoding.append(req)
+            self._record_first_event(req, now_ms)
+        done = [r for r in self._decoding if r.decoded >= r.tokens_out]
+        self._decoding = [r for r in self._decoding if r.decoded < r.tokens_out]
+        return done + abandoned
+
+    def _remove_abandoned(self, now_ms):
+        abandoned = [
+            r for r in (*self._waiting, *self._prefilling, *self._decoding)
             if r.abandoned(now_ms)
         ]
-        for req in lost:
+        for req in abandoned:
             req.on_time = False
-            for where in (self._waiting, self._reading, self._writing):
+            for where in (self._waiting, self._prefilling, self._decoding):
                 if req in where:
                     where.remove(req)
-        return lost
+        return abandoned
 
-    def _first(self, req, now_ms):
+    def _record_first_event(self, req, now_ms):
         req.decoded = 1
         req.last_contact_ms = req.last_event_ms = now_ms
         req.on_time = now_ms - req.at_ms <= req.kind.aim_ms
         self.report_load(req.target, now_ms)
-        self._begun.append(req)
+        self._started.append(req)
 
     def take_started(self):
-        """Returns the requests whose first event came since the last call."""
-        begun, self._begun = self._begun, []
-        return begun
+        """Returns the requests with a first event since the last call."""
+        started, self._started = self._started, []
+        return started
 
-    def _write(self, req, now_ms):
+    def _decode(self, req, now_ms):
         req.decoded += 1
-        if req.decoded % self._sheet.stride:
+        if req.decoded % self._spec.stride:
             return
         lost = self._loss > 0 and self._rng.random() < self._loss
         gap_ms = now_ms - req.last_event_ms + RETRANSMIT_DELAY_MS * lost
--- a/gorsefall/emulator/entries.py
+++ b/gorsefall/emulator/entries.py
@@ -1,4 +1,4 @@
-"""Entries: what each knows of the engines, from itself and from the others."""
+"""Simulates an entry: its view of the engines and its placement decisions."""
 
 import math
 
@@ -11,11 +11,11 @@
 
 
 class Entry:
-    """One entry's view.
+    """One entry.
 
     Attributes:
-        targets: ``engine name -> target.Target``.
-        service: Its ``placement.ServiceState``.
+        targets: ``engine name -> knowledge.ReplicaView``.
+        service: The ``placement.ServiceState``.
         view: The ``peerview.PeerView`` of the other entries' work.
     """
 
@@ -35,45 +35,46 @@
         self.view = peerview.PeerView(f'entry-{number}', self.targets.get)
         self._seq = 0
         self._site = site
-        self._asked = 0
+        self._request_count = 0
 
     def status(self, now_ms):
-        """Returns the ``membership.Status`` that it tells the others."""
+        """Returns the ``membership.Status`` to send to the other entries."""
         self._seq += 1
         return self.view.build_status(0, self._seq, self.targets.values(),
                                       now_ms / 1000)
 
     def receive_status(self, status, now_ms):
-        """Takes in what another entry tells."""
+        """Records the ``membership.Status`` of another entry."""
         self.view.record_status(status.name, status, now_ms / 1000)
 
     def decide(self, req, policy, limit_ms, now_ms, rng):
-        """Returns a ``placement.Choice`` for ``req``, or ``Refused``."""
+        """Returns the ``placement.Choice`` or ``policies.Refusal``."""
         now = now_ms / 1000
         self.view.update_views(self.targets.values(), now)
-        self._asked += 1
-        self.service.unreported.arrivals = self._others(now)
+        self._request_count += 1
+        self.service.unreported.arrivals = self._other_arrivals(now)
         return policy(
             policies.PlacementRequest(list(self.targets.values()),
-                                      _want(req, limit_ms), self.service, now,
-                                      rng))
+                                      _profile(req, limit_ms), self.service,
+                                      now, rng))
 
-    def _others(self, now):
-        """Returns the ``unseen.Arrivals`` of the other entries."""
+    def _other_arrivals(self, now):
+        """Returns the ``unreported.Arrivals`` at the other entries."""
         others = self._site.entries - 1
-        return unreported.Arrivals(per_s=others * self._asked / max(1.0, now),
+        return unreported.Arrivals(per_s=others * self._request_count /
+                                   max(1.0, now),
                                    age_s=self._site.exchange_ms / 2000)
 
     def record_sent(self, req, choice, now_ms):
-        """Notes that ``req`` went out."""
+        """Records that ``req`` was sent."""
         req.target, req.choice, req.sent_ms = choice.target, choice, now_ms
         req.last_contact_ms = now_ms
-        self.view.record_prompt(req.target, _want(req).parts, now_ms / 1000)
+        self.view.record_prompt(req.target, _profile(req).parts, now_ms / 1000)
         req.target.record_sent(choice.prefill_tokens,
-                               decode_heavy=_want(req).decode_heavy)
+                               decode_heavy=_profile(req).decode_heavy)
 
     def record_first_event(self, req, now_ms):
-        """Notes the first event of ``req``."""
+        """Records the first event of ``req``."""
         req.target.record_prefilled(req.choice.prefill_tokens)
         self.service.speed.record_start(
             now_ms - req.sent_ms,
@@ -81,15 +82,15 @@
             req.choice.slowness)
 
     def record_end(self, req, now_ms):
-        """Notes that ``req`` is no longer at its engine."""
+        """Records that ``req`` has left its engine."""
         if not req.decoded:
             req.target.record_prefilled(req.choice.prefill_tokens)
-        req.target.record_end(decode_heavy=_want(req).decode_heavy)
+        req.target.record_end(decode_heavy=_profile(req).decode_heavy)
         if req.decoded >= req.tokens_out:
             self.service.speed.residence.record(now_ms - req.sent_ms)
 
 
-def _want(req, limit_ms=math.inf):
+def _profile(req, limit_ms=math.inf):
     """Returns the ``knowledge.RequestProfile`` of ``req``."""
     return knowledge.RequestProfile(zone='z',
                                     parts=(prompts.Part(req.session,
--- a/gorsefall/emulator/plain.py
+++ b/gorsefall/emulator/plain.py
@@ -1,4 +1,4 @@
-"""One plain replica: slots, a short queue, and calls that it refuses."""
+"""Simulates a plain replica with slots and a bounded queue."""
 
 import collections
 import dataclasses
@@ -10,19 +10,19 @@
 
 @dataclasses.dataclass(eq=False)
 class PendingCall:
-    """One call of a caller, and where it is.
+    """One call of a caller, and its state.
 
     Attributes:
-        kind: Its ``site.CallKind``.
-        at_ms: When its caller first sent it.
-        entry: Number of the entry that has it.
-        work_ms: What its answer takes at a replica of usual speed.
+        kind: The ``site.CallKind``.
+        at_ms: When the caller first sent it, ms.
+        entry: Number of the entry that handles it.
+        work_ms: Processing time at a replica of normal speed, ms.
         always_fails: Whether it fails at every replica.
         tried: Names of the replicas that it was sent to.
-        runs: How often a replica began it.
+        runs: How many times a replica has started it.
         target: The entry's ``knowledge.ReplicaView`` of its replica.
-        sent_ms: When its entry last sent it.
-        is_retry: Whether it was refused once and came back.
+        sent_ms: When its entry last sent it, ms.
+        is_retry: Whether it is the caller's retry after a refusal.
     """
     kind: sites.CallKind
     at_ms: float
@@ -36,12 +36,12 @@
     is_retry: bool = False
 
     def abandoned(self, now_ms):
-        """Whether its caller has given up."""
+        """Returns whether its caller has given up."""
         return now_ms - self.at_ms > self.kind.patience_ms
 
 
 class Admission(enum.Enum):
-    """What a replica does with a call."""
+    """Whether a replica runs, queues or refuses a call."""
     RUNS = 'runs'
     WAITS = 'waits'
     REFUSED = 'refused'
@@ -51,46 +51,47 @@
     """One plain replica.
 
     Attributes:
-        name: Its name.
-        slowdown: How many times longer its work takes.
-        failure_rate: Part of its calls that it fails.
-        running: Calls that have a slot.
+        name: Name of the replica.
+        slowdown: Factor of the processing time.
+        failure_rate: Share of its calls that fail, 0 to 1.
+        running: Number of calls that have a slot.
     """
 
-    def __init__(self, name, sheet, slowdown, failure_rate):
+    def __init__(self, name, spec, slowdown, failure_rate):
         self.name = name
         self.slowdown = slowdown
         self.failure_rate = failure_rate
         self.running = 0
-        self._sheet = sheet
+        self._spec = spec
         self._waiting = collections.deque()
 
-    def admit(self, run):
-        """Takes a call, lets it wait, or refuses it."""
-        if self.running < self._sheet.slots:
+    def admit(self, call):
+        """Runs, queues or refuses a call; returns the ``Admission``."""
+        if self.running < self._spec.slots:
             self.running += 1
             return Admission.RUNS
-        if len(self._waiting) < self._sheet.queue:
-            self._waiting.append(run)
+        if len(self._waiting) < self._spec.queue:
+            self._waiting.append(call)
             return Admission.WAITS
         return Admission.REFUSED
 
     def release_slot(self, now_ms):
-        """Frees a slot.
+        """Frees a slot and gives it to a queued call.
 
         Returns:
-            The run that gets it or None, and those that were given up.
+            The call that gets the slot, or None, and a list of the queued
+            calls whose callers have given up.
         """
-        gone = []
+        abandoned = []
         while self._waiting:
-            run = self._waiting.popleft()
-            if not run.abandoned(now_ms):
-                return run, gone
-            gone.append(run)
+            call = self._waiting.popleft()
+            if not call.abandoned(now_ms):
+                return call, abandoned
+            abandoned.append(call)
         self.running -= 1
-        return None, gone
+        return None, abandoned
 
     def report_load(self, target, now_ms):
-        """Reports its load, as an answer's head may do."""
-        if self._sheet.tells_load:
+        """Reports its load, as response headers may do."""
+        if self._spec.tells_load:
             target.record_load(self.running, len(self._waiting), now_ms / 1000)
--- a/gorsefall/emulator/policies.py
+++ b/gorsefall/emulator/policies.py
@@ -1,4 +1,4 @@
-"""Ways of placing requests, to be compared."""
+"""Placement policies to compare."""
 
 import dataclasses
 
@@ -9,57 +9,61 @@
 
 @dataclasses.dataclass(frozen=True)
 class Refusal:
-    """A request is refused; its caller may return after ``return_ms``."""
-    return_ms: float
+    """The request is refused; its caller may retry after ``retry_after_ms``."""
+    retry_after_ms: float
 
 
 @dataclasses.dataclass(frozen=True)
 class PlacementRequest:
-    """What a policy decides on.
+    """The input of a policy.
 
     Attributes:
         targets: The entry's ``knowledge.ReplicaView`` objects.
-        want: The ``knowledge.RequestProfile``.
+        profile: The ``knowledge.RequestProfile`` of the request.
         service: The entry's ``placement.ServiceState``.
-        now: Time, s.
-        rng: Source of lots.
+        now: Simulated time, s.
+        rng: Random generator.
     """
     targets: list
-    want: knowledge.RequestProfile
+    profile: knowledge.RequestProfile
     service: placement.ServiceState
     now: float
     rng: object
 
 
-def placed(ask):
-    """The product's own way."""
-    choice = unrefused(ask)
-    wait_s = overload.retry_after_s(choice, ask.want.queue_limit_ms, ask.rng)
+def placed(request):
+    """Places or refuses requests as entries do."""
+    choice = unrefused(request)
+    wait_s = overload.retry_after_s(choice, request.profile.queue_limit_ms,
+                                    request.rng)
     return Refusal(wait_s * 1000) if wait_s else choice
 
 
-def unrefused(ask):
-    """The product's own places, but nobody is refused."""
-    return placement.choose(ask.targets, ask.want, ask.service, ask.now,
-                            ask.rng)
+def unrefused(request):
+    """Places requests as entries do, but refuses none."""
+    return placement.choose(request.targets, request.profile, request.service,
+                            request.now, request.rng)
 
 
-def _sound(ask):
-    return [t for t in ask.targets if t.eject_until <= ask.now] or ask.targets
+def _available(request):
+    """Returns the replicas that are not ejected, or all if none is left."""
+    return [t for t in request.targets if t.eject_until <= request.now
+           ] or request.targets
 
 
-def least_loaded(ask):
-    """Least known load, nothing else."""
-    best = min(_sound(ask),
+def least_loaded(request):
+    """Chooses the replica with the least known load."""
+    best = min(_available(request),
                key=lambda t:
                (t.outstanding + t.others_requests *
-                (ask.now - t.reported_at < 1.0), ask.rng.random()))
-    return placement.Choice(best, ask.want.tokens)
+                (request.now - t.reported_at < 1.0), request.rng.random()))
+    return placement.Choice(best, request.profile.tokens)
 
 
-def by_lot(ask):
-    """Any replica."""
-    return placement.Choice(ask.rng.choice(_sound(ask)), ask.want.tokens)
+def by_lot(request):
+    """Chooses a replica at random."""
+    return placement.Choice(request.rng.choice(_available(request)),
+                            request.profile.tokens)
 
 
 POLICIES = {f.__name__: f for f in (placed, unrefused, least_loaded, by_lot)}
--- a/gorsefall/emulator/simulation.py
+++ b/gorsefall/emulator/simulation.py
@@ -1,4 +1,4 @@
-"""Plays a site's load, event by event."""
+"""Simulates a site under its load, event by event."""
 
 import collections
 import dataclasses
@@ -15,12 +15,12 @@
 
 @dataclasses.dataclass
 class Result:
-    """What came of a load.
+    """The result of a simulation.
 
     Attributes:
-        on_time: ``kind name -> share on time``, 0 to 1.
-        refused: ``kind name -> share refused for good``, 0 to 1.
-        worth: Worth earned of the worth asked for, 0 to 1.
+        on_time: ``kind name -> share of requests on time``, 0 to 1.
+        refused: ``kind name -> share of requests finally refused``, 0 to 1.
+        worth: Value earned as a share of the value of all requests, 0 to 1.
     """
     on_time: dict
     refused: dict
@@ -28,37 +28,38 @@
 
 
 class Tally:
-    """Counts what was asked and what was served."""
+    """Counts requests and their outcomes."""
 
     def __init__(self):
-        self._asked = collections.Counter()
+        self._requests = collections.Counter()
         self._on_time = collections.Counter()
         self._refused = collections.Counter()
-        self._owed = self._earned = 0.0
+        self._total_worth = self._earned_worth = 0.0
 
     def count_request(self, kind):
-        """Notes a request of ``kind``."""
-        self._asked[kind.name] += 1
-        self._owed += kind.worth
+        """Counts a request of ``kind``."""
+        self._requests[kind.name] += 1
+        self._total_worth += kind.worth
 
     def count_refused(self, kind):
-        """Notes a request that was refused for good."""
+        """Counts a request that was finally refused."""
         self._refused[kind.name] += 1
 
     def count_served(self, kind, *, on_time):
-        """Notes a whole answer."""
+        """Counts a complete response."""
         self._on_time[kind.name] += on_time
-        self._earned += kind.worth if on_time else kind.late_worth
+        self._earned_worth += kind.worth if on_time else kind.late_worth
 
     def result(self):
         """Returns the ``Result``."""
-        asked = self._asked
-        return Result({n: self._on_time[n] / asked[n] for n in asked},
-                      {n: self._refused[n] / asked[n] for n in asked},
-                      self._earned / self._owed if self._owed else 0.0)
+        requests = self._requests
+        return Result({n: self._on_time[n] / requests[n] for n in requests},
+                      {n: self._refused[n] / requests[n] for n in requests},
+                      self._earned_worth /
+                      self._total_worth if self._total_worth else 0.0)
 
 
-def _arrivals(site, seconds, rng):
+def _random_requests(site, seconds, rng):
     for kind in site.kinds:
         at = 0.0
         while True:
@@ -77,52 +78,53 @@
 
 
 class Simulation:
-    """One play of a site; ``run`` it once.
+    """One simulation of a site; ``run`` may be called once.
 
     Attributes:
-        calls: The ``calls.Calls`` to its plain replicas.
+        calls: The ``calls.CallSimulation`` of its plain replicas.
     """
 
     def __init__(self, site, policy, seed, loss):
         self._site = site
         self._policy = policy
         self._rng = random.Random(seed)
-        luck = random.Random(f'loss {seed}')
-        sheet = site.engines
-        names = [f'e{i}' for i in range(sheet.count)]
-        self._farm = {
+        loss_rng = random.Random(f'loss {seed}')
+        spec = site.engines
+        names = [f'e{i}' for i in range(spec.count)]
+        self._engines = {
             name:
-                engines.Engine(name, sheet, sheet.speeds[i % len(sheet.speeds)],
-                               luck, loss.get(name, 0.0))
+                engines.Engine(name, spec, spec.speeds[i % len(spec.speeds)],
+                               loss_rng, loss.get(name, 0.0))
             for i, name in enumerate(names)
         }
         self._entries = [
             entries.Entry(i, site, names) for i in range(site.entries)
         ]
-        self._ranks = site.ranks()
+        self._rank_stats = site.rank_stats()
         self._tally = Tally()
-        self.calls = calls.CallSimulation(site, policy, self._tally, self._at,
+        self.calls = calls.CallSimulation(site, policy, self._tally,
+                                          self._schedule,
                                           random.Random(f'calls {seed}'))
         self._stepping = set()
         self._count = itertools.count()
-        self._todo = []
+        self._events = []
 
-    def _at(self, at_ms, action, *args):
-        heapq.heappush(self._todo, (at_ms, next(self._count), action, args))
+    def _schedule(self, at_ms, action, *args):
+        heapq.heappush(self._events, (at_ms, next(self._count), action, args))
 
     def run(self, seconds):
-        """Plays ``seconds`` of load to its end; returns the ``Result``."""
-        for req in _arrivals(self._site, seconds, self._rng):
-            self._at(req.at_ms, self._arrive, req)
+        """Simulates ``seconds`` of load to its end; returns the ``Result``."""
+        for req in _random_requests(self._site, seconds, self._rng):
+            self._schedule(req.at_ms, self._arrive, req)
         self.calls.schedule(seconds)
         for fault in self._site.faults:
-            self._at(fault.at_s * 1000, self._strike, fault)
+            self._schedule(fault.at_s * 1000, self._begin_fault, fault)
         if self._site.exchange_ms:
             for entry in self._entries:
                 first = self._rng.uniform(0, self._site.exchange_ms)
-                self._at(first, self._speak, entry, seconds * 1000)
-        while self._todo:
-            now_ms, _, action, args = heapq.heappop(self._todo)
+                self._schedule(first, self._send_status, entry, seconds * 1000)
+        while self._events:
+            now_ms, _, action, args = heapq.heappop(self._events)
             action(now_ms, *args)
         return self._tally.result()
 
@@ -130,42 +132,42 @@
         if not req.is_retry:
             self._tally.count_request(req.kind)
         entry = self._entries[req.entry]
-        limit_ms = self._ranks.queue_limit_ms(req.kind.priority,
-                                              req.kind.aim_ms)
+        limit_ms = self._rank_stats.queue_limit_ms(req.kind.priority,
+                                                   req.kind.aim_ms)
         choice = entry.decide(req, self._policy, limit_ms, now_ms, self._rng)
         if isinstance(choice, policies.Refusal):
-            self._refuse(now_ms, req, choice)
+            self._handle_refusal(now_ms, req, choice)
             return
         entry.record_sent(req, choice, now_ms)
-        engine = self._farm[choice.target.name]
+        engine = self._engines[choice.target.name]
         if engine.up:
             engine.admit(req)
-            self._go_on(now_ms, engine)
+            self._schedule_step(now_ms, engine)
         else:
-            self._lose(now_ms, req)
+            self._handle_failure(now_ms, req)
 
-    def _refuse(self, now_ms, req, refused):
+    def _handle_refusal(self, now_ms, req, refusal):
         if req.is_retry:
             self._tally.count_refused(req.kind)
             return
-        # Callers return once, to another entry.
+        # A caller retries once, at another entry.
         req.is_retry = True
         req.entry = self._rng.randrange(len(self._entries))
-        self._at(now_ms + refused.return_ms, self._arrive, req)
+        self._schedule(now_ms + refusal.retry_after_ms, self._arrive, req)
 
-    def _lose(self, now_ms, req):
+    def _handle_failure(self, now_ms, req):
         req.target.record_failure(now_ms / 1000)
-        self._ended(now_ms, req)
+        self._record_end(now_ms, req)
 
-    def _ended(self, now_ms, req):
+    def _record_end(self, now_ms, req):
         self._entries[req.entry].record_end(req, now_ms)
         if req.decoded >= req.tokens_out:
             self._tally.count_served(req.kind, on_time=req.on_time)
 
-    def _go_on(self, now_ms, engine):
+    def _schedule_step(self, now_ms, engine):
         if engine.busy and engine.name not in self._stepping:
             self._stepping.add(engine.name)
-            self._at(now_ms + engine.step_ms(), self._step, engine)
+            self._schedule(now_ms + engine.step_ms(), self._step, engine)
 
     def _step(self, now_ms, engine):
         self._stepping.discard(engine.name)
@@ -174,48 +176,48 @@
         for req in engine.step(now_ms):
             if req.decoded >= req.tokens_out:
                 req.target.record_success()
-            self._ended(now_ms, req)
+            self._record_end(now_ms, req)
         for req in engine.take_started():
             self._entries[req.entry].record_first_event(req, now_ms)
-        self._go_on(now_ms, engine)
+        self._schedule_step(now_ms, engine)
 
-    def _strike(self, now_ms, fault):
-        engine = list(self._farm.values())[fault.engine]
-        back_ms = now_ms + fault.for_s * 1000
+    def _begin_fault(self, now_ms, fault):
+        engine = list(self._engines.values())[fault.engine]
+        end_ms = now_ms + fault.for_s * 1000
         if fault.what is sites.FaultKind.SLOW:
             engine.slowdown = fault.times
-            self._at(back_ms, self._quicken, engine)
+            self._schedule(end_ms, self._end_slowdown, engine)
             return
         for req in engine.crash():
-            self._lose(now_ms, req)
-        self._at(back_ms, self._revive, engine)
+            self._handle_failure(now_ms, req)
+        self._schedule(end_ms, self._restart, engine)
 
-    def _quicken(self, now_ms, engine):
+    def _end_slowdown(self, now_ms, engine):
         del now_ms
         engine.slowdown = 1.0
 
-    def _revive(self, now_ms, engine):
+    def _restart(self, now_ms, engine):
         del now_ms
         engine.up = True
 
-    def _speak(self, now_ms, entry, until_ms):
+    def _send_status(self, now_ms, entry, until_ms):
         status = entry.status(now_ms)
         for other in self._entries:
             if other is not entry:
                 other.receive_status(status, now_ms)
         if now_ms < until_ms:
-            self._at(now_ms + self._site.exchange_ms, self._speak, entry,
-                     until_ms)
+            self._schedule(now_ms + self._site.exchange_ms, self._send_status,
+                           entry, until_ms)
 
 
 def simulate(site, *, policy=policies.placed, seconds=20.0, seed=1, loss=None):
-    """Plays a load; returns its ``Result``.
+    """Simulates a site; returns the ``Result``.
 
     Args:
         site: The ``site.Site``.
-        policy: One of ``policies.POLICIES``.
+        policy: One of the functions in ``policies.POLICIES``.
         seconds: Length of the load, s.
-        seed: Seed of all draws.
-        loss: ``engine name -> part of its events that links lose``.
+        seed: Seed of all random generators.
+        loss: ``engine name -> share of its events lost on the way``.
     """
     return Simulation(site, policy, seed, loss or {}).run(seconds)
--- a/gorsefall/emulator/site.py
+++ b/gorsefall/emulator/site.py
@@ -1,4 +1,4 @@
-"""What is emulated: engines, entries, kinds of request and troubles."""
+"""Sites to simulate: engines, entries, kinds of request and faults."""
 
 import enum
 import random
@@ -18,18 +18,18 @@
 
     Attributes:
         name: Its name.
-        per_s: Requests a second.
-        shared: Tokens of the shared part its prompt goes on from.
-        own: Mean tokens of its own part, drawn log-normally.
-        spread: Sigma of that.
-        events: Mean events of an answer.
-        sessions: Shared parts it draws from.
-        aim_ms: Target for the first event.
-        gap_ms: Longest pause between events that is on time.
-        patience_ms: How long its callers wait for the whole answer.
-        worth: What an answer on time is worth.
-        late_worth: What a later one is worth.
-        priority: Its rank at the engines, 0 is the most urgent.
+        per_s: Requests per second.
+        shared: Length of the prompt prefix shared within a session, tokens.
+        own: Mean length of the rest of the prompt, tokens; log-normal.
+        spread: Sigma of the log-normal distribution.
+        events: Mean number of events of a response.
+        sessions: Number of sessions; each has its own shared prefix.
+        aim_ms: Latency target for the first event, ms.
+        gap_ms: Target for the time between events, ms.
+        patience_ms: Timeout of its callers for the complete response, ms.
+        worth: Value of a response on time.
+        late_worth: Value of a late response.
+        priority: Priority at the engines; 0 is the most urgent.
     """
     name: str
     per_s: float
@@ -47,7 +47,7 @@
 
     @property
     def silence_ms(self):
-        """Longest silence that its callers bear, ms."""
+        """Idle timeout of its callers, ms."""
         return max(2000.0, 4 * self.aim_ms, 8 * self.gap_ms)
 
 
@@ -55,24 +55,24 @@
                  frozen=True,
                  kw_only=True,
                  forbid_unknown_fields=True):
-    """The engines' data sheet.
+    """Number and performance of the engines.
 
     Attributes:
-        count: Engines.
-        slots: Requests that one runs at once.
-        speeds: Times that their steps take, of the first, second and so on,
-            from the first again when used up.
-        step_ms: A step's time alone, ms.
-        step_ms_per_request: The same for each request that runs, ms.
-        pairs_ms_per_m: The same for a million pairs of a token read and one
-            before it, ms.
-        tokens_per_ms: Prompt tokens read in a ms.
-        chunk: Most prompt tokens read in a step.
-        stride: Tokens that an event holds.
-        kv_tokens: Memory, tokens.
-        tells_load: Whether answers tell what runs and waits there.
-        fetch_ms: Time in which one cached prompt token is fetched from another
-            engine, ms; 0 where that cannot be.
+        count: Number of engines.
+        slots: Requests that an engine runs concurrently.
+        speeds: Factors of the step time of the first engine, the second and so
+            on; repeated if there are more engines.
+        step_ms: Fixed time of a step, ms.
+        step_ms_per_request: Additional step time per running request, ms.
+        pairs_ms_per_m: Additional step time per million pairs of a prefilled
+            token and a token before it (attention), ms.
+        tokens_per_ms: Prompt tokens prefilled per ms.
+        chunk: Maximum prompt tokens prefilled in a step.
+        stride: Tokens per event.
+        kv_tokens: Size of the KV cache, tokens.
+        tells_load: Whether responses report the engine's load.
+        fetch_ms: Time to fetch the KV cache of a prompt token from another
+            engine, ms; 0 if engines cannot fetch.
     """
     count: int = 5
     slots: int = 64
@@ -96,16 +96,16 @@
 
     Attributes:
         name: Its name.
-        per_s: Calls a second.
-        work_ms: Mean work of one, drawn log-normally.
-        spread: Sigma of that.
-        fails: Part of the calls that fail at every replica, after their work.
-        repeatable: Whether a second run does no harm.
-        attempts: Replicas that one call may be sent to.
-        aim_ms: Target for the answer.
-        patience_ms: How long its callers wait for it.
-        worth: What an answer on time is worth.
-        late_worth: What a later one is worth.
+        per_s: Calls per second.
+        work_ms: Mean processing time, ms; log-normal.
+        spread: Sigma of the log-normal distribution.
+        fails: Share of the calls that fail at every replica, after processing.
+        repeatable: Whether a call may run more than once.
+        attempts: Maximum number of replicas that a call is sent to.
+        aim_ms: Latency target for the response, ms.
+        patience_ms: Timeout of its callers, ms.
+        worth: Value of a response on time.
+        late_worth: Value of a late response.
     """
     name: str
     per_s: float
@@ -124,18 +124,18 @@
                 frozen=True,
                 kw_only=True,
                 forbid_unknown_fields=True):
-    """The plain replicas' data sheet.
+    """Number and performance of the plain replicas.
 
     Attributes:
-        count: Replicas.
-        slots: Calls that one runs at once.
-        queue: Calls that wait at one at most; it refuses others.
-        speeds: Times that their work takes, of the first, second and so on,
-            from the first again when used up.
-        failing: Part of its calls that one fails beside those that fail
-            everywhere; of the first, second and so on, likewise.
-        tells_load: Whether answers tell what runs and waits there.
-        retries: What all entries together may send a second time.
+        count: Number of replicas.
+        slots: Calls that a replica runs concurrently.
+        queue: Calls that may wait at a replica; further calls are refused.
+        speeds: Factors of the processing time of the first replica, the second
+            and so on; repeated if there are more replicas.
+        failing: Share of the calls that only this replica fails, of the first
+            replica, the second and so on, likewise.
+        tells_load: Whether responses report the replica's load.
+        retries: Retry budget of all entries together.
     """
     count: int = 3
     slots: int = 6
@@ -147,7 +147,7 @@
 
 
 class FaultKind(enum.Enum):
-    """What happens to an engine."""
+    """Kind of a fault of an engine."""
     CRASH = 'crash'
     SLOW = 'slow'
 
@@ -156,14 +156,14 @@
             frozen=True,
             kw_only=True,
             forbid_unknown_fields=True):
-    """One trouble.
+    """A fault of an engine.
 
     Attributes:
         what: The ``FaultKind``.
-        engine: Number of the engine that has it.
-        at_s: When, s.
-        for_s: How long, s; a crashed engine is back empty after it.
-        times: How many times slower, for ``FaultKind.SLOW``.
+        engine: Number of the engine.
+        at_s: When the fault begins, s.
+        for_s: Duration, s; a crashed engine then restarts with an empty cache.
+        times: Factor of the step time, for ``FaultKind.SLOW``.
     """
     what: FaultKind
     engine: int
@@ -179,15 +179,15 @@
     """A site and its load.
 
     Attributes:
-        name: Its name.
-        kinds: Its ``RequestKind`` objects.
-        calls: Its ``CallKind`` objects.
-        engines: Its ``EngineSpec``.
-        plain: Its ``PlainSpec``.
-        entries: Entries that place requests.
-        exchange_ms: How long entries go without telling each other of their
-            work, ms; 0 for entries that tell nothing.
-        faults: Its ``Fault`` objects.
+        name: Name of the site.
+        kinds: ``RequestKind`` objects, the load of the engines.
+        calls: ``CallKind`` objects, the load of the plain replicas.
+        engines: The ``EngineSpec``.
+        plain: The ``PlainSpec``.
+        entries: Number of entries that place requests.
+        exchange_ms: Interval at which entries send each other their status,
+            ms; 0 if they send none.
+        faults: ``Fault`` objects.
     """
     name: str
     kinds: list[RequestKind] = []
@@ -198,22 +198,22 @@
     exchange_ms: float = 100.0
     faults: list[Fault] = []
 
-    def with_rates_scaled(self, **times):
-        """Returns the site with the rates of the named kinds so many times."""
+    def with_rates_scaled(self, **factors):
+        """Returns the site with the rates of the named kinds multiplied."""
         kinds = [
-            msgspec.structs.replace(k, per_s=k.per_s * times.get(k.name, 1.0))
+            msgspec.structs.replace(k, per_s=k.per_s * factors.get(k.name, 1.0))
             for k in self.kinds
         ]
         return msgspec.structs.replace(self, kinds=kinds)
 
     def with_fields(self, **fields):
-        """Returns the site with other fields; those of ``Engines`` too."""
+        """Returns the site with changed fields, also of its ``EngineSpec``."""
         own = {k: fields.pop(k) for k in list(fields) if hasattr(Site, k)}
         engines = msgspec.structs.replace(self.engines, **fields)
         return msgspec.structs.replace(self, engines=engines, **own)
 
-    def ranks(self):
-        """Returns the ``overload.RankStats`` in which each kind is in use."""
+    def rank_stats(self):
+        """Returns the ``overload.RankStats`` with one request of each kind."""
         ranks = overload.RankStats()
         for kind in self.kinds:
             ranks.record_request(kind.priority, kind.aim_ms)
@@ -225,27 +225,27 @@
     if not names:
         yield 'kinds, calls: at least one is needed'
     if len(set(names)) < len(names):
-        yield 'kinds, calls: two have one name'
+        yield 'kinds, calls: two have the same name'
     if min(site.engines.count, site.plain.count, site.entries) < 1:
-        yield 'engines.count, plain.count, entries: must be over 0'
+        yield 'engines.count, plain.count, entries: must be greater than 0'
     for fault in site.faults:
         if not 0 <= fault.engine < site.engines.count:
-            yield f'faults: there is no engine {fault.engine}'
+            yield f'faults: engine {fault.engine} does not exist'
 
 
 def load(path):
     """Reads a site file (TOML).
 
     Raises:
-        errors.SettingsError: It cannot be read or is at fault.
+        errors.SettingsError: The file is unreadable or invalid.
     """
     return settingsfile.load(path, Site, _problems)
 
 
 def random_site(seed):
-    """Returns a site drawn at random: sizes, rates, speeds, targets.
+    """Returns a site with random sizes, rates, speeds and targets.
 
-    The ranges span the load sheets of today by a factor of two either way.
+    The ranges extend the known sites' loads by a factor of two either way.
     """
     rng = random.Random(f'site {seed}')
 
--- a/tests/loads.py
+++ b/tests/loads.py
@@ -1,4 +1,4 @@
-"""Loads that tests play on the emulator, and the means of their results."""
+"""Loads for tests that use the emulator, and means of their results."""
 
 import pathlib
 import statistics
@@ -16,18 +16,18 @@
 
 
 def means(load, policy=policies.placed, **options):
-    """Returns the mean ``simulation.Result`` of a load over ``SEEDS``."""
+    """Returns the mean ``simulation.Result`` of a site over ``SEEDS``."""
     runs = [
         simulation.simulate(load, policy=policy, seed=seed, **options)
         for seed in SEEDS
     ]
-    return simulation.Result(_shares([r.on_time for r in runs]),
-                             _shares([r.refused for r in runs]),
+    return simulation.Result(_mean_shares([r.on_time for r in runs]),
+                             _mean_shares([r.refused for r in runs]),
                              statistics.mean(r.worth for r in runs))
 
 
-def _shares(found):
+def _mean_shares(shares):
     return {
-        name: statistics.mean(f.get(name, 0.0) for f in found)
-        for name in found[0]
+        name: statistics.mean(s.get(name, 0.0) for s in shares)
+        for name in shares[0]
     }
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -219,7 +219,7 @@
 
 def test_who_saw_part_of_what_blames_has_it_kept():
     """Three more replicas lost after a restart of all, as nobody wrote it."""
-    site = crashing.Site(9, 6, 6, lost=0.0)
+    site = crashing.Site(9, 6, 6, loss=0.0)
     kept = []
     for entry in site.entries:
         entry.crashes.on_poison_request = kept.append
