--- a/gorsefall/explain.py
+++ b/gorsefall/explain.py
@@ -111,8 +111,8 @@
 def _(event: loglines.AttemptFailed):
     reached = ('may have received the request'
                if event.sent else 'did not receive the request')
-    return (f'{event.replica} did not complete the response within '
-            f'{event.after_ms:.0f} ms ({event.reason}); it {reached}')
+    return (f'the attempt at {event.replica} failed after '
+            f'{event.after_ms:.0f} ms ({event.reason}); the replica {reached}')
 
 
 @describe.register
@@ -121,9 +121,9 @@
     route = f' on route {event.route}' if event.route else ''
     last = f', last event {event.last_event}' if event.last_event else ''
     why = f': {event.error}' if event.error else ''
-    back = ('' if event.retry_after_s is None else
-            f'; asked to retry after {event.retry_after_s:.2f} s')
-    return f'{event.outcome}{route}{took}{last}{why}{back}'
+    retry = ('' if event.retry_after_s is None else
+             f'; asked to retry after {event.retry_after_s:.2f} s')
+    return f'{event.outcome}{route}{took}{last}{why}{retry}'
 
 
 def _subject(event):
@@ -134,7 +134,7 @@
     if isinstance(event, loglines.Configuration):
         return 'configuration'
     if isinstance(event, loglines.ProofLost | loglines.ProofRegained):
-        return 'proof'
+        return 'confirmation'
     if isinstance(event, loglines.StoreLost | loglines.StoreRegained):
         return f'store {event.topic}'
     if isinstance(
@@ -185,8 +185,8 @@
                 f'{_CAUSES.get(last.code, last.code)}{_failures(own)}')
     if last.outcome == 'caller_left':
         return f'the caller left {_progress(own)}{_failures(own)}'
-    known = _OUTCOMES.get(last.outcome) or _CAUSES.get(last.code)
-    return f'{known or last.error or last.outcome}{_failures(own)}'
+    text = _OUTCOMES.get(last.outcome) or _CAUSES.get(last.code)
+    return f'{text or last.error or last.outcome}{_failures(own)}'
 
 
 def _progress(own):
