--- a/gorsefall/relay/codec.py
+++ b/gorsefall/relay/codec.py
@@ -1,8 +1,8 @@
-"""The seam between the relay and a wire: how messages are spelled."""
+"""Interface between the relay and a wire format."""
 
 
 class Codec:
-    """Decodes what callers and replicas send, encodes what they get."""
+    """Decodes and encodes the messages of callers and replicas."""
 
     def decode_request(self, method, target, fields):
         """Returns the ``model.CallerRequest`` of a request head.
@@ -17,19 +17,19 @@
         """
         raise NotImplementedError
 
-    def encode_request(self, req, order):
+    def encode_request(self, req, options):
         """Returns the header fields for a replica, a list of byte pairs.
 
         Args:
             req: The ``model.CallerRequest``.
-            order: The ``model.AttemptOptions``.
+            options: The ``model.AttemptOptions``.
         """
         raise NotImplementedError
 
     def decode_response(self, status, fields):
-        """Returns the ``model.Response`` of a replica's answer head."""
+        """Returns the ``model.Response`` for a replica's response head."""
         raise NotImplementedError
 
-    def encode_response(self, answer):
+    def encode_response(self, response):
         """Returns the header fields for the caller, a list of byte pairs."""
         raise NotImplementedError
--- a/gorsefall/relay/delivery.py
+++ b/gorsefall/relay/delivery.py
@@ -1,111 +1,113 @@
-"""An answer's way to its caller: held until whole, or passed on by events."""
+"""Delivers a response to its caller: buffered until complete, or streamed."""
 
 from gorsefall.relay import events
 
 MAX_BUFFERED_BYTES = 4 << 20
-"""Longest answer that is no stream, bytes: it is held back until it is whole,
-so that another replica can still be asked. As much as callers may send."""
+"""Maximum size of a response that isn't a stream, the same as the default
+limit for request bodies. Such a response is buffered until it is complete, so
+that another replica can still be tried if the first one fails midway."""
 
 
 class Delivery:
-    """What of a request's answers the caller got, and what is held back.
+    """Forwards the responses of a request's attempts to its caller.
 
     Attributes:
-        streaming: Whether the answer that came last is passed on as it comes.
+        streaming: Whether the current response is forwarded as it arrives.
     """
 
-    def __init__(self, codec, reply):
-        """Creates a delivery of which nothing is on its way.
+    def __init__(self, codec, writer):
+        """Creates a delivery that has sent nothing.
 
         Args:
             codec: The ``codec.Codec`` of the wire.
-            reply: The ``inbound.ResponseWriter`` to the caller.
+            writer: The ``inbound.ResponseWriter`` of the caller.
         """
         self._codec = codec
-        self._reply = reply
-        self._answer = None
-        self._held = []
+        self._writer = writer
+        self._response = None
+        self._chunks = []
         self._size = 0
         self._splitter = None
         self.streaming = False
 
     @property
     def started(self):
-        """Whether the caller got part of an answer."""
-        return self._reply.started
+        """Whether the caller has received part of a response."""
+        return self._writer.started
 
     @property
     def resuming(self):
-        """Whether a stream was begun, so that only its rest is of use."""
+        """Whether a stream was started, so that only its rest is usable."""
         return self._splitter is not None
 
     @property
     def last_event_id(self):
-        """Id of the last event passed on, bytes; None before any."""
+        """Id of the last event forwarded, bytes; None before the first."""
         return self._splitter.last_id if self._splitter else None
 
-    def begin(self, answer, *, streams):
-        """Notes the head of an answer.
+    def begin(self, response, *, streams):
+        """Starts to handle a response of a replica.
 
         Args:
-            answer: The ``model.Response``.
-            streams: Whether a success comes as a stream of events.
+            response: The ``model.Response``.
+            streams: Whether a successful response is an event stream.
         """
-        self._answer = answer
-        self.streaming = streams and answer.success and answer.genuine
+        self._response = response
+        self.streaming = streams and response.success and response.genuine
         if self.streaming:
-            # The rest of a stream that has begun can only be more events.
+            # Once a stream was started, only more of its events can follow.
             self._splitter = self._splitter or events.Splitter()
             self._splitter.partial = b''
 
     @property
     def event_count(self):
-        """How many events became whole with the last piece of a stream."""
+        """Number of events completed by the last piece of the stream."""
         return self._splitter.completed
 
     def buffer(self, data):
-        """Keeps part of an answer; returns whether it is not too long."""
-        self._held.append(data)
+        """Buffers a piece of the body; returns False if it gets too large."""
+        self._chunks.append(data)
         self._size += len(data)
         return self._size <= MAX_BUFFERED_BYTES
 
     def split_events(self, data):
-        """Returns what of a stream is whole events by now."""
+        """Adds a piece of a stream; returns the events it completes, bytes."""
         return self._splitter.feed(data)
 
     def forward(self, data):
         """Sends part of a stream; returns whether the caller keeps up."""
-        self._begin()
-        return self._reply.write(data)
+        self._start()
+        return self._writer.write(data)
 
-    def _begin(self):
-        if not self._reply.started:
-            self._reply.start(self._answer.status,
-                              self._codec.encode_response(self._answer))
+    def _start(self):
+        if not self._writer.started:
+            self._writer.start(self._response.status,
+                               self._codec.encode_response(self._response))
 
     def end(self):
-        """Ends a stream that is whole."""
-        self._begin()
+        """Ends a complete stream."""
+        self._start()
         if self._splitter.partial:
-            self._reply.write(self._splitter.partial)
-        self._reply.end()
+            self._writer.write(self._splitter.partial)
+        self._writer.end()
 
-    def send_buffered(self, answer):
-        """Sends an answer that was held back."""
-        self._reply.send(answer.status, self._codec.encode_response(answer),
-                         b''.join(self._held))
+    def send_buffered(self, response):
+        """Sends a buffered response."""
+        self._writer.send(response.status,
+                          self._codec.encode_response(response),
+                          b''.join(self._chunks))
 
     def discard(self):
-        """Forgets what is held of an answer that failed."""
-        self._answer = None
+        """Drops what is buffered of a failed response."""
+        self._response = None
         self.streaming = False
-        self._held.clear()
+        self._chunks.clear()
         self._size = 0
 
     def send_error(self, status, fields, body):
-        """Sends an answer of our own."""
-        self._reply.send(status, fields, body)
+        """Sends an error response of this entry."""
+        self._writer.send(status, fields, body)
 
     def abort(self):
-        """Ends what was begun so that nobody takes it for whole."""
-        self._reply.abort()
+        """Closes the connection so that the response can't look complete."""
+        self._writer.abort()
--- a/gorsefall/relay/events.py
+++ b/gorsefall/relay/events.py
@@ -1,4 +1,4 @@
-"""Event streams, cut into whole events."""
+"""Splits server-sent event streams into complete events."""
 
 import re
 
@@ -7,16 +7,16 @@
 
 
 class Splitter:
-    """Collects bytes of a stream and gives back whole events.
+    """Buffers the bytes of a stream and returns complete events.
 
-    A replica may stop in the middle of an event. Passing on only whole
-    events lets another replica go on after the last one without a piece
-    that is half from one run and half from the other.
+    A replica may fail in the middle of an event. Only complete events are
+    forwarded, so that another replica can continue after the last one without
+    an event whose bytes come from two different runs.
 
     Attributes:
-        last_id: Id of the last whole event, as sent; None before any.
-        rest: Bytes of the event that is not whole yet.
-        whole: Events that became whole with the last bytes.
+        last_id: Id of the last complete event, as sent; None before the first.
+        partial: Bytes of the incomplete event at the end.
+        completed: Number of events completed by the last call of ``feed``.
     """
 
     def __init__(self):
@@ -25,14 +25,14 @@
         self.completed = 0
 
     def feed(self, data):
-        """Returns the bytes that are whole events by now."""
+        """Adds ``data``; returns the bytes of the events it completes."""
         buf = self.partial + data
         end = self.completed = 0
         for match in _END.finditer(buf):
             end = match.end()
             self.completed += 1
-        whole, self.partial = buf[:end], buf[end:]
-        ids = _ID.findall(whole)
+        complete, self.partial = buf[:end], buf[end:]
+        ids = _ID.findall(complete)
         if ids:
             self.last_id = ids[-1]
-        return whole
+        return complete
--- a/gorsefall/relay/inbound.py
+++ b/gorsefall/relay/inbound.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 from callers: reads requests, writes answers, notices who left."""
+"""HTTP/1.1 server side: reads callers' requests and writes responses."""
 
 import h11
 
@@ -8,18 +8,18 @@
 from gorsefall.net import tcp
 
 MAX_PENDING_BYTES = 65536
-"""Unsent answer bytes above which the replica's stream is paused, and bytes
-of later requests that are read ahead."""
+"""Limit of the unsent response bytes, above which reading from the replica is
+paused, and of the bytes of later requests that are read ahead."""
 
 HEADER_EXTRA_BYTES = 4
-"""Bytes of a header line beside its name and value: colon, space, CRLF."""
+"""Bytes of a header line besides its name and value: colon, space, CRLF."""
 
 _HOP_BY_HOP = frozenset((b'connection', b'keep-alive', b'proxy-connection',
                          b'te', b'trailer', b'transfer-encoding', b'upgrade'))
 
 
 def end_to_end_fields(fields):
-    """Returns the ``(name, value)`` fields that concern more than one hop.
+    """Returns the ``(name, value)`` fields that aren't hop-by-hop.
 
     Args:
         fields: A ``headers.Headers``.
@@ -32,11 +32,11 @@
 
 
 class ResponseWriter:
-    """What an exchange uses to answer its caller; at most one answer.
+    """Writes at most one response to a caller.
 
     Attributes:
         started: Whether the head was sent.
-        done: Whether the answer ended, whole or broken off.
+        done: Whether the response has ended, complete or aborted.
     """
 
     def __init__(self, conn):
@@ -45,7 +45,7 @@
         self.done = False
 
     def send(self, status, fields, body):
-        """Sends a whole answer; ``fields`` are byte pairs."""
+        """Sends a complete response; ``fields`` are pairs of bytes."""
         if not self.done:
             self.started = self.done = True
             self._conn.send_head(status, fields, len(body))
@@ -53,30 +53,30 @@
             self._conn.end()
 
     def start(self, status, fields):
-        """Starts an answer whose length is not known."""
+        """Starts a response of unknown length."""
         self.started = True
         self._conn.send_head(status, fields, None)
 
     def write(self, data):
-        """Sends a piece; returns whether the caller keeps up."""
+        """Sends a piece of the body; returns whether the caller keeps up."""
         self._conn.send_body(data)
         return self._conn.can_write()
 
     def end(self):
-        """Ends an answer that was started with ``head``."""
+        """Ends a response that was started with ``start``."""
         if not self.done:
             self.done = True
             self._conn.end()
 
     def abort(self):
-        """Ends the channel so that the answer cannot look complete."""
+        """Aborts the connection so that the response can't look complete."""
         if not self.done:
             self.done = True
             self._conn.abort()
 
 
 class CallerConnection:
-    """One caller's channel.
+    """One connection of a caller.
 
     The server object it belongs to provides ``limits``, ``draining``,
     ``on_conn_closed(conn)``, ``error_response(exc)`` and
@@ -92,52 +92,52 @@
         self._body = digests.Body()
         self._head = None
         self._exchange = None
-        self._answering = False
+        self._responding = False
         self._closing = False
         self._timer = None
         self._limits = server.limits
         self._h11 = h11.Connection(
             h11.SERVER, max_incomplete_event_size=self._limits.header_bytes)
         self._conn = tcp.Connection(loop, self, sock)
-        self._expect(self._limits.idle_timeout_s)
+        self._start_timer(self._limits.idle_timeout_s)
 
     @property
     def idle(self):
         """Whether no request is being read or answered."""
-        return (not self._answering and self._head is None and
+        return (not self._responding and self._head is None and
                 not self._h11.trailing_data[0])
 
     @property
     def has_unsent(self):
-        """Whether answer bytes wait for the caller to take them."""
+        """Whether response bytes are still to be sent to the caller."""
         return bool(self._conn.unsent)
 
     def on_connected(self):
-        """See ``tcp.Connection``; callers connect to us."""
+        """See ``tcp.Connection``; callers open the connection."""
 
     def on_bytes(self, data):
         """See ``tcp.Connection``."""
         if not data:
-            self._gone()
+            self._on_disconnected()
             return
         if self._closing:
             return
-        if self.idle and not self._answering:
-            self._expect(self._limits.header_timeout_s)
+        if self.idle and not self._responding:
+            self._start_timer(self._limits.header_timeout_s)
         try:
             self._h11.receive_data(data)
             self._advance()
         except h11.RemoteProtocolError as exc:
-            self._reject(exc)
+            self._on_protocol_error(exc)
 
     def on_broken(self, reason):
         """See ``tcp.Connection``."""
         del reason
-        self._gone()
+        self._on_disconnected()
 
     def on_drained(self):
         """See ``tcp.Connection``."""
-        if self._closing and not self._answering:
+        if self._closing and not self._responding:
             self.close()
         elif self._exchange is not None:
             self._exchange.on_caller_drained()
@@ -145,7 +145,7 @@
     # -- reading ---------------------------------------------------------------
 
     def _advance(self):
-        while (not self._answering and not self._closing and self._conn.open):
+        while (not self._responding and not self._closing and self._conn.open):
             event = self._h11.next_event()
             if event is h11.NEED_DATA:
                 if self._h11.they_are_waiting_for_100_continue:
@@ -159,7 +159,7 @@
             elif isinstance(event, h11.Data):
                 self._on_data(event.data)
             elif isinstance(event, h11.EndOfMessage):
-                self._on_request()
+                self._on_request_end()
             else:
                 return
         if len(self._h11.trailing_data[0]) > MAX_PENDING_BYTES:
@@ -168,7 +168,7 @@
     def _on_head(self, event):
         self._limits = self._server.limits
         self._head = event
-        # h11 bounds only a head that is still incomplete.
+        # h11 only limits the size of a head that is still incomplete.
         size = len(event.target) + sum(
             len(n) + len(v) + HEADER_EXTRA_BYTES for n, v in event.headers)
         if size > self._limits.header_bytes:
@@ -189,22 +189,22 @@
                 errors.BodyTooLargeError(
                     f'body over {self._limits.body_bytes} bytes'))
 
-    def _on_request(self):
+    def _on_request_end(self):
         head, body = self._head, self._body
         self._head = None
         self._body = digests.Body()
-        self._answering = True
+        self._responding = True
         self._cancel_timer()
         fields = headers.read(head.headers.raw_items())
         exchange = self._server.handle_request(head.method, head.target, fields,
                                                body, ResponseWriter(self))
-        if self._answering:
+        if self._responding:
             self._exchange = exchange
 
-    def _reject(self, exc):
-        if self._answering:
-            # What follows the request is malformed; its answer still goes
-            # out, and the channel ends with it.
+    def _on_protocol_error(self, exc):
+        if self._responding:
+            # The bytes after the current request are malformed. Its response
+            # is still sent, and the connection is closed after it.
             self._closing = True
             return
         kind = (errors.HeadTooLargeError
@@ -212,15 +212,15 @@
         self._refuse(kind(f'malformed request: {exc}'))
 
     def _refuse(self, exc):
-        """Answers a request that was not read whole, and closes."""
-        self._answering = self._closing = True
+        """Responds to a request that wasn't read completely, and closes."""
+        self._responding = self._closing = True
         self._head = None
         ResponseWriter(self).send(*self._server.error_response(exc))
 
     # -- writing ---------------------------------------------------------------
 
     def send_head(self, status, fields, length):
-        """Sends an answer head; ``length`` None means in chunks."""
+        """Sends a response head; ``length`` None means chunked."""
         out = list(fields)
         if length is not None:
             out.append((b'Content-Length', str(length).encode()))
@@ -232,23 +232,24 @@
             self._h11.send(h11.Response(status_code=status, headers=out)))
 
     def send_body(self, data):
-        """Sends a piece of the answer's body."""
+        """Sends a piece of the response body."""
         self._conn.write(self._h11.send(h11.Data(data=data)))
 
     def can_write(self):
-        """Returns whether the caller reads as fast as it is sent to."""
+        """Returns whether the caller reads fast enough to send it more."""
         return self._conn.unsent < MAX_PENDING_BYTES
 
     def end(self):
-        """Ends the answer; reads the next request or closes."""
+        """Ends the response; then reads the next request or closes."""
         self._conn.write(self._h11.send(h11.EndOfMessage()))
-        self._answering = False
+        self._responding = False
         self._exchange = None
         if not self._conn.open:
             return
-        # In a shutdown an answer that began before it announced no close. A
-        # request that its caller sends next could not be finished in time;
-        # one that crosses the close was not read and is sent elsewhere.
+        # A response head sent before a shutdown didn't announce the close, so
+        # the caller may send another request, which couldn't be finished in
+        # time. A request that is in flight when the connection closes was not
+        # read, and its caller sends it to another entry.
         last = self._server.draining and not self._h11.trailing_data[0]
         if (last or self._closing or self._h11.our_state is not h11.DONE or
                 self._h11.their_state is not h11.DONE):
@@ -257,7 +258,7 @@
                 self.close()
             return
         self._h11.start_next_cycle()
-        self._expect(self._limits.idle_timeout_s)
+        self._start_timer(self._limits.idle_timeout_s)
         self._conn.resume()
         if self._h11.trailing_data[0]:
             self._loop.later(0, self._resume)
@@ -267,45 +268,45 @@
             if self._conn.open:
                 self._advance()
         except h11.RemoteProtocolError as exc:
-            self._reject(exc)
+            self._on_protocol_error(exc)
 
     def abort(self):
-        """Resets the channel in the middle of an answer."""
-        self._answering = False
+        """Resets the connection in the middle of a response."""
+        self._responding = False
         self._exchange = None
         self._conn.abort()
-        self._left()
+        self._on_closed()
 
     def close(self):
-        """Closes the channel, which has nothing left to send."""
+        """Closes the connection, which has nothing left to send."""
         self._conn.close()
-        self._left()
+        self._on_closed()
 
-    # -- ends ------------------------------------------------------------------
+    # -- closing ---------------------------------------------------------------
 
-    def _gone(self):
+    def _on_disconnected(self):
         exchange, self._exchange = self._exchange, None
-        self._answering = False
+        self._responding = False
         self._conn.close()
-        self._left()
+        self._on_closed()
         if exchange is not None:
             exchange.on_caller_disconnected()
 
-    def _left(self):
+    def _on_closed(self):
         self._cancel_timer()
         self._server.on_conn_closed(self)
 
-    def _expect(self, timeout_s):
+    def _start_timer(self, timeout_s):
         self._cancel_timer()
-        self._timer = self._loop.later(timeout_s, self._quiet)
+        self._timer = self._loop.later(timeout_s, self._on_timeout)
 
     def _cancel_timer(self):
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _quiet(self):
-        # Nothing was handed on: a caller that sends half a request and
-        # falls silent must not hold a descriptor for good.
-        if not self._answering:
+    def _on_timeout(self):
+        # A caller that stops in the middle of a request must not occupy a
+        # file descriptor forever.
+        if not self._responding:
             self.close()
--- a/gorsefall/relay/main.py
+++ b/gorsefall/relay/main.py
@@ -1,4 +1,7 @@
-"""Start of a relay entry process; kept small, as memory is dear there."""
+"""Entry point of a relay entry process.
+
+The module imports little, because memory is scarce on the VMs of entries.
+"""
 
 import sys
 
--- a/gorsefall/relay/model.py
+++ b/gorsefall/relay/model.py
@@ -1,4 +1,4 @@
-"""What the relay knows of requests, answers, routes and replicas."""
+"""Data types of the relay: requests, responses, routes and replicas."""
 
 import dataclasses
 import enum
@@ -10,37 +10,38 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated on a route."""
+    """Which requests of a route may run more than once."""
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non_idempotent'
     STREAM = 'stream'
 
 
 class ReplicaStatus(enum.Enum):
-    """A replica as its own record says."""
+    """Status of a replica according to its own record."""
     READY = 'ready'
     DRAINING = 'draining'
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Route:
-    """Where requests of one host and path prefix go, and on what terms.
+    """Destination and limits of the requests of one host and path prefix.
 
     Attributes:
         name: Route name.
         host: Host the route belongs to, lowercase.
         prefix: Path prefix, begins and ends with a slash.
-        kind: What may be repeated.
-        timeout_s: Longest time a caller is kept waiting, s.
-        target_s: Time to the answer, or its first event, for full worth, s.
-        gap_target_s: Longest pause between events of a stream for full worth,
+        kind: Which requests may run more than once.
+        timeout_s: Longest time until the response to the caller ends, s.
+        target_s: Latency target of the whole response, or of the first event
+            of a stream, s.
+        gap_target_s: Target for the longest pause between events of a stream,
             s; 0 for no target.
-        priority: Rank, 0 is the most urgent.
-        services: ``(service, weight)`` pairs the route's requests go to.
-        max_attempts: Replicas one request may be sent to.
-        public: Whether requests need no key.
-        resumable: Whether a broken stream may go on at another replica.
-        model: Whether its requests carry prompts that replicas cache.
+        priority: Priority, 0 is the most urgent.
+        services: ``(service, weight)`` pairs that share the requests.
+        max_attempts: Maximum number of replicas one request is sent to.
+        public: Whether requests need no API key.
+        resumable: Whether another replica may continue a broken stream.
+        model: Whether requests carry prompts that replicas cache.
     """
     name: str
     host: str
@@ -58,7 +59,7 @@
 
     @property
     def repeatable(self):
-        """Whether a request may run a second time from its start."""
+        """Whether a request may be run again from its start."""
         return self.kind is RouteKind.IDEMPOTENT or self.resumable
 
 
@@ -70,11 +71,12 @@
         name: Service name.
         max_connections: Connections one replica accepts from all entries.
         engine: Whether its replicas are model engines.
-        kv_backups: Whether a replica can copy a run's memory to another one.
-        kv_tokens: Tokens that an engine has memory for; 0 if not told.
-        fetch_ms: Time in which an engine fetches a cached prompt token from
-            another, ms; 0 where it cannot.
-        event_tokens: Tokens that an event of a stream holds.
+        kv_backups: Whether a replica can back up the KV cache of a run to
+            another replica.
+        kv_tokens: KV cache capacity of an engine, tokens; 0 if unknown.
+        fetch_ms: Time an engine takes to fetch one cached prompt token from
+            another engine, ms; 0 if it can't.
+        event_tokens: Tokens per event of a stream.
     """
     name: ids.ServiceName
     max_connections: int
@@ -87,13 +89,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CallerLimits:
-    """Bounds on what a caller may send and how long it may take.
+    """Limits on the size and timing of caller requests.
 
     Attributes:
         header_bytes: Largest request head, bytes.
         body_bytes: Largest request body, bytes.
-        header_timeout_s: Longest time for a request head, s.
-        idle_timeout_s: Longest quiet time between requests, s.
+        header_timeout_s: Longest time to receive a request head, s.
+        idle_timeout_s: Longest idle time between requests, s.
     """
     header_bytes: int = 16384
     body_bytes: int = 4 << 20
@@ -106,8 +108,8 @@
     """A client account.
 
     Attributes:
-        name: Its name, which replicas are told.
-        priority: Rank of all its requests; None leaves it to the route.
+        name: Account name; replicas receive it with each request.
+        priority: Priority of all its requests; None to use the route's.
     """
     name: ids.AccountName
     priority: int | None = None
@@ -115,14 +117,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReplicaRecord:
-    """What a replica writes of itself.
+    """The record that a replica publishes about itself.
 
     Attributes:
-        id: Names the replica; one that starts again may keep it.
+        id: Replica name; may stay the same after a restart.
         service: Service it belongs to.
-        addr: ``(host, port)``; may be used again by another replica later.
+        addr: ``(host, port)``; another replica may reuse it later.
         zone: Availability zone.
-        slots: Requests it runs at once.
+        slots: Requests it can run at once.
         status: A ``ReplicaStatus``.
         started_at_ms: When this incarnation of the replica started, ms since
             1970 by its own clock; 0 where it does not report it. Tells
@@ -137,7 +139,7 @@
     started_at_ms: int = 0
 
     def same_incarnation(self, other):
-        """Whether ``other`` is a record of the same start of the replica."""
+        """Whether ``other`` describes the same incarnation of the replica."""
         return (self.started_at_ms == other.started_at_ms and
                 self.addr == other.addr)
 
@@ -147,10 +149,10 @@
     """Size and shared parts of a prompt.
 
     Attributes:
-        parts: ``prompts.Part`` objects in order; requests share leading
-            parts, the last one is a request's own.
+        parts: ``prompts.Part`` objects in order. Leading parts may be shared
+            with other requests; the last part belongs to this request only.
         tokens_in: Tokens of the whole prompt.
-        tokens_out: Most tokens to generate.
+        tokens_out: Maximum number of tokens to generate.
     """
     parts: tuple[prompts.Part, ...] = ()
     tokens_in: int = 0
@@ -158,26 +160,27 @@
 
     @property
     def shared(self):
-        """Its parts that other requests may have too."""
+        """The parts that other requests may share."""
         return self.parts[:-1]
 
 
 @dataclasses.dataclass(kw_only=True)
 class CallerRequest:
-    """One request of a caller, decoded.
+    """A decoded request of a caller.
 
     Attributes:
-        id: The caller's id of this attempt; replicas echo it.
+        id: Request id set by the caller; replicas echo it.
         method: HTTP method, bytes.
         target: Path and query as sent, bytes.
         host: Host, lowercase, without port.
         headers: All header fields as received.
         body: The whole body.
         body_digest: Its ``digests.Body.digest``.
-        time_left_s: How long the caller will wait, s; None when not said.
-        key: API key; None when the request carries none.
+        time_left_s: How long the caller will wait, s; None if not specified.
+        key: API key; None if the request has none.
         prompt: The ``Prompt`` of a model request, else None.
-        last_event_id: Last event the caller has, as sent; None for none.
+        last_event_id: Id of the last event the caller has received, as sent;
+            None for none.
     """
     id: ids.RequestId
     method: bytes
@@ -193,17 +196,17 @@
 
     @property
     def path(self):
-        """The path without its query, str."""
+        """Path without the query, str."""
         return self.target.split(b'?', 1)[0].decode('latin-1')
 
 
 class Load(typing.NamedTuple):
-    """What a replica says of its load on an answer.
+    """Load that a replica reports with a response.
 
     Attributes:
-        running: Requests it runs.
-        waiting: Requests in its queue.
-        slots: Requests it can run at once.
+        running: Requests that run.
+        waiting: Requests that are queued.
+        slots: Requests that can run at once.
     """
     running: int
     waiting: int
@@ -212,19 +215,20 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Response:
-    """The head of a replica's answer, decoded.
+    """The decoded head of a replica's response.
 
     Attributes:
         status: HTTP status.
         headers: All header fields as received.
-        request_id: Id of the request it answers; None when not said.
-        genuine: Whether it bears the replica's proof that it is its own and
-            its body was not re-encoded on the way.
-        not_run: The replica says that it did not run the request.
-        misdirected: It says that it is not the one the request is meant for.
-        load: Its ``Load``, or None.
-        limit_per_s: Requests a second that it takes from all entries together
-            for now; None for no limit.
+        request_id: Id of the request it belongs to; None if not specified.
+        genuine: Whether it carries the mark with which a replica identifies
+            its own responses, and no intermediary re-encoded the body.
+        not_run: Whether the replica states that it did not run the request.
+        misdirected: Whether the replica states that the request was meant for
+            another replica.
+        load: The replica's ``Load``, or None.
+        limit_per_s: Requests per second that the replica currently accepts
+            from all entries together; None for no limit.
     """
     status: int
     headers: headers.Headers
@@ -243,20 +247,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AttemptOptions:
-    """What a replica is told beside the caller's own request.
+    """What an attempt adds to the caller's request for the replica.
 
     Attributes:
-        replica: The replica it is meant for; another one refuses it.
-        time_left_s: How long the replica may work on it, s.
+        replica: Id of the intended replica; any other replica refuses it.
+        time_left_s: How long the replica may work on the request, s.
         account: Name of the caller's account; None on public routes.
-        priority: Rank, 0 is the most urgent.
+        priority: Priority at the replica, 0 is the most urgent.
         backup_to: ``(host, port)`` of the replica that receives the KV backup
             of the run as it grows; None for no backup.
         restore_from: ``(host, port)`` of the replica whose KV backup the run
             continues from; None to start anew.
-        resume_after: Id of the last event delivered; None from the start.
-        fetch_from: ``(host, port)`` of a replica that keeps more of the
-            prompt; None for none.
+        resume_after: Id of the last event delivered to the caller; None to
+            send the whole stream.
+        fetch_from: ``(host, port)`` of a replica to fetch cached parts of the
+            prompt from; None for none.
     """
     replica: ids.ReplicaName
     time_left_s: float
--- a/gorsefall/relay/outcomes.py
+++ b/gorsefall/relay/outcomes.py
@@ -1,4 +1,4 @@
-"""How requests end, and what callers are told."""
+"""Outcomes of requests, and the error responses that callers get."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class Outcome(enum.Enum):
-    """How an exchange ended."""
+    """How an exchange ended; the values are logged and used as labels."""
     SERVED = 'served'
     REPLICA_FAILED = 'replica_failed'
     REFUSED = 'refused'
@@ -18,7 +18,7 @@
 
 
 class LateReason(enum.Enum):
-    """What kept an answer from full worth."""
+    """Which latency target a response missed; the values are logged."""
     START = 'start'
     PAUSE = 'pause'
 
@@ -35,9 +35,9 @@
 
 
 def retry_after_s(exc):
-    """Returns when the caller of a request that failed may return, or None.
+    """Returns after how long a failed request may be retried, s, or None.
 
-    Only what was not run may be asked for again without a thought.
+    Only a request that was not run is safe to retry in every case.
     """
     if not isinstance(exc, errors.NotRunError):
         return None
@@ -45,7 +45,7 @@
 
 
 def error_response(exc):
-    """Returns the ``(status, fields, body)`` of an error."""
+    """Returns the ``(status, fields, body)`` of an error response."""
     body = f'{exc.code}: {exc}\n'.encode()
     fields = [(b'Content-Type', b'text/plain; charset=utf-8')]
     after_s = retry_after_s(exc)
--- a/gorsefall/relay/servers.py
+++ b/gorsefall/relay/servers.py
@@ -1,4 +1,4 @@
-"""The server ends of a node: callers, the balancer's question, metrics."""
+"""Servers of a relay entry: callers, readiness checks and metrics."""
 
 from gorsefall import metrics
 from gorsefall.relay import inbound
@@ -7,7 +7,7 @@
 
 
 class _Server:
-    """What the server ends of channels share: which are open."""
+    """Base of the servers; keeps track of the open connections."""
 
     def __init__(self, node):
         self.node = node
@@ -21,61 +21,61 @@
 
     @property
     def draining(self):
-        """Whether channels end with their next answer."""
+        """Whether connections are closed after their next response."""
         return self.node.draining
 
     def accept(self, sock):
-        """Takes a new connection."""
+        """Starts to serve a new connection."""
         self.conns.add(inbound.CallerConnection(self.node.loop, self, sock))
 
-    def on_conn_closed(self, channel):
-        """Called by a channel at its end."""
-        self.conns.discard(channel)
+    def on_conn_closed(self, conn):
+        """Called by a connection when it was closed."""
+        self.conns.discard(conn)
 
     def error_response(self, exc):
-        """Returns status, fields and body for ``exc``."""
+        """Returns the ``(status, fields, body)`` for ``exc``."""
         return outcomes.error_response(exc)
 
 
 class CallerServer(_Server):
-    """Serves callers."""
+    """Serves the requests of callers."""
 
-    def handle_request(self, method, target, fields, body, reply):
-        """Starts the exchange of a whole request."""
-        return self.node.start_exchange(method, target, fields, body, reply)
+    def handle_request(self, method, target, fields, body, writer):
+        """Starts the exchange of a complete request; returns it."""
+        return self.node.start_exchange(method, target, fields, body, writer)
 
     def has_unsent(self):
-        """Returns whether an answer is still on its way to a caller."""
-        return any(channel.has_unsent for channel in self.conns)
+        """Returns whether response bytes are still to be sent to a caller."""
+        return any(conn.has_unsent for conn in self.conns)
 
     def close_all(self):
-        """Closes every channel."""
-        for channel in list(self.conns):
-            channel.close()
+        """Closes every connection."""
+        for conn in list(self.conns):
+            conn.close()
 
     def close_idle(self):
-        """Closes the channels on which nothing is under way."""
-        for channel in list(self.conns):
-            if channel.idle:
-                channel.close()
+        """Closes the connections without a request in flight."""
+        for conn in list(self.conns):
+            if conn.idle:
+                conn.close()
 
 
 class ReadinessServer(_Server):
-    """Answers the balancer."""
+    """Responds to readiness checks of the load balancer."""
 
-    def handle_request(self, method, target, fields, body, reply):
-        """Answers 200 while new work may come here, else 503."""
+    def handle_request(self, method, target, fields, body, writer):
+        """Responds 200 if the entry accepts new requests, else 503."""
         del method, target, fields, body
         status = 200 if self.node.is_ready() else 503
-        reply.send(status, [(b'Content-Type', b'text/plain')], b'')
+        writer.send(status, [(b'Content-Type', b'text/plain')], b'')
 
 
 class MetricsServer(_Server):
     """Serves the metrics page."""
 
-    def handle_request(self, method, target, fields, body, reply):
-        """Answers with all counters and histograms."""
+    def handle_request(self, method, target, fields, body, writer):
+        """Responds with all metrics."""
         del method, target, fields, body
         self.node.update_gauges()
         page, content_type = metrics.render()
-        reply.send(200, [(b'Content-Type', content_type.encode())], page)
+        writer.send(200, [(b'Content-Type', content_type.encode())], page)
--- a/gorsefall/relay/settings.py
+++ b/gorsefall/relay/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a relay entry (TOML), checked at load into typed structures."""
+"""Settings of a relay entry: parsed from TOML into checked structures."""
 
 import msgspec
 
@@ -6,35 +6,37 @@
 from gorsefall.policy import budget
 
 MAX_DIGEST_KEY_BYTES = 64
-"""Longest key that the digests take."""
+"""Maximum key length of the keyed hash that computes the digests."""
 
 
 class Relay(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """A relay entry process.
+    """Settings of a relay entry process.
 
     Attributes:
         name: This entry's name; unique among entries.
         zone: Its availability zone.
-        callers: ``host:port`` for callers.
-        readiness: ``host:port`` the balancer asks.
-        metrics_port: Port for metrics on the callers' host; 0 for none.
+        callers: ``host:port`` to listen on for callers.
+        readiness: ``host:port`` to listen on for readiness checks of the load
+            balancer.
+        metrics_port: Port for metrics on the host of ``callers``; 0 for none.
         store: ``host:port`` of the platform's store.
-        peers: ``host:port`` where other entries tell of their work; the port
-            is the same at all entries. Empty for none.
+        peers: ``host:port`` on which messages of other entries arrive; the
+            port is the same at all entries. Empty to run alone.
         seeds: ``host:port`` of some entries; only the host is used.
         revoke_s: Time within which a revoked key stops working, s.
-        strict_revocation: Whether that also holds while the store is away:
-            requests with a key are then refused. Otherwise the last known
-            keys go on.
+        strict_revocation: Whether ``revoke_s`` also holds while the store is
+            unreachable: requests with a key are refused then. Otherwise the
+            last known keys stay valid.
         apply_s: Time within which a new configuration is in force, s.
-        settle_s: Time after a disturbance of an entry's own links, after
-            which ``apply_s`` holds again, s.
-        leave_s: Time within which a replica that leaves gets no new work, s.
-        grace_s: Time from the stop signal until the platform kills, s.
-        digest_key: Key of the digests that tell requests apart, the same at
-            all entries, 64 bytes at most. Who does not know it cannot tell
-            from a log line whether a guessed request was sent.
-        retries: What all entries together may send twice, per service.
+        settle_s: Time after a fault of the entry's own connections until
+            ``apply_s`` holds again, s.
+        leave_s: Time within which a draining replica stops getting new
+            requests, s.
+        grace_s: Time between the stop signal and the kill by the platform, s.
+        digest_key: Key of the request digests, the same at all entries, at
+            most 64 bytes. Without the key nobody can check from a log line
+            whether a guessed request was sent.
+        retries: Retries that all entries together may send, per service.
     """
     name: str
     zone: str
@@ -55,7 +57,7 @@
 
     @property
     def seed_hosts(self):
-        """Hosts of the seeds, a list."""
+        """Hosts of ``seeds``, a list."""
         return [
             settingsfile.split_addr(seed)[0]
             for seed in self.seeds.split(',')
@@ -76,16 +78,16 @@
         yield from settingsfile.addr_problems([('peers', cfg.peers)])
     for key in _POSITIVE:
         if getattr(cfg, key) <= 0:
-            yield f'{key}: must be over 0'
+            yield f'{key}: must be greater than 0'
     for key in ('name', 'zone'):
         if not getattr(cfg, key):
             yield f'{key}: must not be empty'
     if not 0 <= cfg.metrics_port < 65536:
-        yield f'metrics_port: {cfg.metrics_port} is no port'
+        yield f'metrics_port: {cfg.metrics_port} is not a port number'
     if len(cfg.digest_key.encode()) > MAX_DIGEST_KEY_BYTES:
-        yield f'digest_key: over {MAX_DIGEST_KEY_BYTES} bytes'
+        yield f'digest_key: must be at most {MAX_DIGEST_KEY_BYTES} bytes'
     if cfg.retries.window_s <= 0:
-        yield 'retries.window_s: must be over 0'
+        yield 'retries.window_s: must be greater than 0'
 
 
 def loads(text, source='<string>'):
