--- a/gorsefall/relay/accesslog.py
+++ b/gorsefall/relay/accesslog.py
@@ -1,4 +1,4 @@
-"""What is counted and logged of a request's end."""
+"""Access log: metrics and a log line for each request that ended."""
 
 import time
 
@@ -8,15 +8,15 @@
 
 
 def record(exchange, grant, outcome, exc, *, pause_s, last_event):
-    """Counts and logs the end of an exchange.
+    """Updates the metrics and logs the end of an exchange.
 
     Args:
         exchange: The ``exchange.Exchange`` that ended.
         grant: Its ``grant.Grant``.
         outcome: The ``outcomes.Outcome``.
-        exc: The error that its caller was told of, or None.
-        pause_s: Longest pause between events of its answer, s.
-        last_event: Id of the last event passed on, or None.
+        exc: The error that was sent to the caller, or None.
+        pause_s: Longest pause between events of the response, s.
+        last_event: Id of the last event forwarded, or None.
     """
     now = time.monotonic()
     node = exchange.node
@@ -26,7 +26,7 @@
     if outcome is outcomes.Outcome.SERVED:
         metrics.relay_times(route.name, exchange.first_at - exchange.arrived,
                             now - exchange.arrived)
-    late = _late(exchange, grant, pause_s, now)
+    late = _late_reason(exchange, grant, pause_s, now)
     exchange.log.info('answered',
                       outcome=outcome.value,
                       error=str(exc) if exc else None,
@@ -46,13 +46,13 @@
                       proof_age_s=node.confirmation.logged_age_s())
 
 
-def _late(exchange, grant, pause_s, now):
-    """Returns why it missed full worth: ``outcomes.LateReason``, or None."""
+def _late_reason(exchange, grant, pause_s, now):
+    """Returns which target was missed, an ``outcomes.LateReason``, or None."""
     route = grant.route
     if route is None or exchange.first_at is None:
         return None
-    came = exchange.first_at if grant.streams else now
-    if route.target_s and came - exchange.arrived > route.target_s:
+    response_at = exchange.first_at if grant.streams else now
+    if route.target_s and response_at - exchange.arrived > route.target_s:
         return outcomes.LateReason.START
     if route.gap_target_s and pause_s > route.gap_target_s:
         return outcomes.LateReason.PAUSE
@@ -60,7 +60,7 @@
 
 
 def _since_ms(exchange, when):
-    """Returns the time from its arrival to ``when``, ms, or None."""
+    """Returns the time from the request's arrival to ``when``, ms, or None."""
     if when is None:
         return None
     return round((when - exchange.arrived) * 1000, 1)
--- a/gorsefall/relay/backups.py
+++ b/gorsefall/relay/backups.py
@@ -1,4 +1,4 @@
-"""Copies of a run's memory at another replica, and when to go on from one."""
+"""KV backups: copies of a run's KV cache at another replica."""
 
 import time
 
@@ -7,34 +7,35 @@
 
 
 class KvBackup:
-    """The copy of one run; at most one is ordered and used."""
+    """The KV backup of one run; a run restores from a backup at most once."""
 
-    def __init__(self, replica_ends, replicas):
-        """Creates a copy that is not ordered yet.
+    def __init__(self, prober, replicas):
+        """Creates the state of a run without a backup.
 
         Args:
-            replica_ends: The ``ends.Ends``.
+            prober: The ``ends.Ends``.
             replicas: The ``fleet.Fleet``.
         """
-        self._ends = replica_ends
+        self._prober = prober
         self._fleet = replicas
         self._holder = None
-        self._looking = None
+        self._on_probed = None
 
     @property
     def available(self):
-        """Whether a replica was told to keep a copy that was not used yet."""
+        """Whether a replica was chosen and its backup was not claimed yet."""
         return self._holder is not None
 
     def choose_holder(self, candidates, request):
-        """Chooses the replica that keeps the copy.
+        """Chooses the replica that receives the backup.
 
         Args:
-            candidates: List of ``fleet.Replica`` beside the one that runs.
+            candidates: List of ``fleet.Replica`` without the one that runs
+                the request.
             request: The request's id.
 
         Returns:
-            Its ``(host, port)``, or None when there is none.
+            The ``(host, port)`` of the replica, or None if there is none.
         """
         target = placement.choose_backup([r.target for r in candidates],
                                          request, time.monotonic())
@@ -45,27 +46,30 @@
         return self._holder.record.addr
 
     def probe(self, replica, done):
-        """Calls ``done(alive)`` with whether ``replica`` is there."""
-        if self._looking is not None:
+        """Calls ``done(alive)`` when it is known if ``replica`` is alive.
+
+        Does nothing while an earlier probe is in progress.
+        """
+        if self._on_probed is not None:
             return
-        self._looking = done
-        self._ends.look(replica, self._looked)
+        self._on_probed = done
+        self._prober.look(replica, self._handle_verdict)
 
-    def _looked(self, verdict):
-        done, self._looking = self._looking, None
+    def _handle_verdict(self, verdict):
+        done, self._on_probed = self._on_probed, None
         if done is not None:
             done(verdict is ends.Verdict.ALIVE)
 
     def claim(self):
-        """Returns the ``fleet.Replica`` with the copy, or None.
+        """Returns the ``fleet.Replica`` that holds the backup, or None.
 
-        One that left has none, nor has one that started again since: then it
-        is another ``Replica`` under the same id.
+        The backup is lost if the replica has left or restarted. After a
+        restart another ``Replica`` object has the same id.
         """
         holder, self._holder = self._holder, None
-        known = self._fleet.replicas.get(holder.record.id)
-        return holder if known is holder else None
+        current = self._fleet.replicas.get(holder.record.id)
+        return holder if current is holder else None
 
     def cancel_probe(self):
-        """Gives up a look that is under way."""
-        self._looking = None
+        """Ignores the result of a probe that is in progress."""
+        self._on_probed = None
--- a/gorsefall/relay/exchange.py
+++ b/gorsefall/relay/exchange.py
@@ -1,4 +1,8 @@
-"""One request forwarded byte for byte, from its caller to its final answer."""
+"""Forwards one request byte for byte, until its caller has a response.
+
+A request is sent to one replica at a time. A further attempt is made only
+where a second run does no harm, or where no earlier replica can have run it.
+"""
 
 import time
 
@@ -21,24 +25,24 @@
 
 INTERNAL_ERROR_STATUS = 500
 TIMEOUT_STATUS = 504
-"""Statuses of a replica that failed, and of one whose time was up."""
+"""Statuses of a replica that failed, and of one that ran out of time."""
 
 
 class Exchange(serving.Serving):
-    """Runs one caller request through replicas; owns its answer.
+    """Sends one caller request to replicas until the caller has a response.
 
     Attributes:
         req: The ``model.CallerRequest``.
         node: The ``node.Node`` it belongs to.
-        digest: The ``ids.RequestDigest`` by which other sends of the same
-            request are known; None until its caller is.
+        digest: The ``ids.RequestDigest`` that identifies other attempts of
+            the same request; None until the account is known.
     """
 
-    def __init__(self, node, req, reply):
+    def __init__(self, node, req, writer):
         super().__init__(logs.get('exchange').bind(rid=req.id))
         self.node = node
         self.req = req
-        self._delivery = delivery.Delivery(node.codec, reply)
+        self._delivery = delivery.Delivery(node.codec, writer)
         self._attempt = None
         self.digest = None
         self._grant = grant.Grant(node, req)
@@ -46,12 +50,12 @@
         self._deadline_timer = None
         self._attempt_timer = None
         self._longest_pause_s = 0.0
-        self._copy = backups.KvBackup(node.prober, node.fleet)
+        self._backup = backups.KvBackup(node.prober, node.fleet)
 
-    # -- what may be done ------------------------------------------------------
+    # -- limits ----------------------------------------------------------------
 
     def start(self):
-        """Decides on the request and sends it, or answers at once."""
+        """Checks the request and sends it, or responds with an error."""
         try:
             self._grant.renew()
         except errors.GorsefallError as exc:
@@ -61,11 +65,12 @@
         self.digest = digests.request(self.node.cfg.digest_key.encode(),
                                       account.name if account else '',
                                       self.req.target, self.req.body_digest)
-        left = self._grant.route.timeout_s
+        time_left_s = self._grant.route.timeout_s
         if self.req.time_left_s is not None:
-            left = min(left, self.req.time_left_s)
-        self._deadline = self.arrived + left
-        self._deadline_timer = self.node.loop.later(left, self._time_up)
+            time_left_s = min(time_left_s, self.req.time_left_s)
+        self._deadline = self.arrived + time_left_s
+        self._deadline_timer = self.node.loop.later(time_left_s,
+                                                    self._on_deadline)
         self._grant.record_arrival()
         self.go_on()
 
@@ -76,7 +81,7 @@
                                    max_attempts=self._grant.route.max_attempts)
 
     def _budget(self):
-        """Returns the ``budget.Budget`` that its retries are taken from."""
+        """Returns the ``budget.Budget`` for its retries."""
         return self.node.retry_budget(self._grant.service)
 
     def _start_latency(self):
@@ -103,54 +108,55 @@
     def send_next(self):
         """See ``serving.Serving``."""
         if self.attempts.tried:
-            # Asked again before each send: while the request waited, its
-            # key may have been revoked or its route moved.
+            # Checked again before each further attempt, because the key may
+            # have been revoked or the route changed in the meantime.
             self._grant.renew()
         if not self.node.crashes.begin(self.digest, self):
             return
         choice = self._grant.choose_replica(
             self.attempts.tried,
-            refuse=not self.attempts.replicas,
-            emptiest=self.node.crashes.suspects.must_serialize(self.digest))
+            may_shed=not self.attempts.replicas,
+            least_loaded=self.node.crashes.suspects.must_serialize(self.digest))
         if choice is None:
             raise errors.NoReplicaError(
-                f'no replica of {self._grant.service} is left',
+                f'no untried replica of {self._grant.service} is available',
                 retry_after=retry_delay.short_delay_s())
         self._send(self.node.fleet.replicas[choice.target.name], choice)
 
-    def _send(self, replica, choice, *, from_copy=False):
+    def _send(self, replica, choice, *, from_backup=False):
         now = time.monotonic()
         if not self.attempts.replicas:
             self._budget().record_first_attempt(now)
         self.attempts.record_sent(replica.record.id)
         replica.limit.record_sent(now)
-        order = self._grant.attempt_options(
+        options = self._grant.attempt_options(
             replica.record,
             time_left_s=self._time_left(),
-            backup=None if from_copy else self._order_copy(replica),
-            from_copy=from_copy,
+            backup=None if from_backup else self._choose_backup_holder(replica),
+            from_backup=from_backup,
             resume_after=self._delivery.last_event_id,
             source=choice.fetch_source)
         if self.req.prompt is not None:
             self.node.work.prompt_sent(replica, self.req.prompt.shared)
-        self._attempt = sending.Attempt(self,
-                                        replica,
-                                        order,
-                                        choice,
-                                        writes=self._grant.profile.decode_heavy)
+        self._attempt = sending.Attempt(
+            self,
+            replica,
+            options,
+            choice,
+            decode_heavy=self._grant.profile.decode_heavy)
         self._attempt.conn = replica.pool.send(self._attempt)
         self._attempt.log_sent(self._grant.service, len(self.attempts.replicas))
-        self._watch_attempt()
+        self._start_attempt_timer()
 
-    def _order_copy(self, replica):
-        """Returns the address of the replica that copies the run, or None."""
+    def _choose_backup_holder(self, replica):
+        """Returns the address for the KV backup of the run, or None."""
         if not self._grant.needs_backup:
             return None
         others = self.node.fleet.candidates(self._grant.service,
                                             {replica.record.id})
-        return self._copy.choose_holder(others, self.req.id)
+        return self._backup.choose_holder(others, self.req.id)
 
-    def _watch_attempt(self):
+    def _start_attempt_timer(self):
         if self.attempts.may_run_concurrently(self.terms):
             self._set_attempt_timer(
                 attempt_timeouts.attempt_s(self._start_latency(),
@@ -160,70 +166,72 @@
     def _set_attempt_timer(self, wait_s):
         if self._attempt_timer is not None:
             self._attempt_timer.cancel()
-        self._attempt_timer = self.node.loop.later(wait_s, self._attempt_silent)
-
-    def _attempt_silent(self):
-        # A replica that hangs, or a channel that something between the ends
-        # lost track of, shows no error. Asking another replica while there
-        # is time serves the caller; the budget keeps that from doubling the
-        # load when all of them are slow.
+        self._attempt_timer = self.node.loop.later(wait_s,
+                                                   self._on_attempt_timeout)
+
+    def _on_attempt_timeout(self):
+        # A replica that hangs, or a connection dropped without a reset by
+        # something on the path, shows no error. Trying another replica while
+        # there is time serves the caller; the retry budget keeps this from
+        # doubling the load when all replicas are slow.
         attempt = self._attempt
         if attempt is None:
             return
-        if self._restorable():
-            self._look_after(attempt)
+        if self._can_restore():
+            self._probe_replica(attempt)
             return
-        if not self._repeatable_elsewhere():
-            # What is put back for more urgent work is silent too, and goes on
-            # later; given up here, its answer would be lost.
-            self._watch_attempt()
+        if not self._can_try_another():
+            # A run that the replica preempted for more urgent work is silent
+            # too, and continues later. Giving up here would lose its response.
+            self._start_attempt_timer()
             return
         attempt.conn.cancel()
         if not attempt.response_started:
-            self._note_wait(attempt)
+            self._record_wait(attempt)
         self.on_attempt_failed(attempt, outbound.Failure(True, 'silent'))
 
-    def _repeatable_elsewhere(self):
-        """Whether another replica may be asked, and there is one."""
+    def _can_try_another(self):
+        """Whether a retry is allowed and another replica is available."""
         return (self.attempts.may_run_concurrently(self.terms) and
                 self._budget().available(time.monotonic()) >= 1 and bool(
                     self.node.work.targets(self._grant.service,
                                            self.attempts.tried)))
 
-    def _note_wait(self, attempt):
+    def _record_wait(self, attempt):
         self._start_latency().record(time.monotonic() - attempt.sent_at)
 
-    # -- what a replica answers ------------------------------------------------
+    # -- responses of replicas -------------------------------------------------
 
-    def on_response_head(self, answer):
-        """Called with the head of an answer."""
-        self._delivery.begin(answer, streams=self._grant.streams)
+    def on_response_head(self, response):
+        """Called with the head of a response."""
+        self._delivery.begin(response, streams=self._grant.streams)
 
     def on_response_data(self, attempt, data):
-        """Called with a piece of an answer's body."""
+        """Called with a piece of a response's body."""
         if self.first_at is None:
             self.first_at = time.monotonic()
         if not attempt.response_started:
-            attempt.first_at = time.monotonic()
-            self._note_wait(attempt)
+            attempt.first_byte_at = time.monotonic()
+            self._record_wait(attempt)
             attempt.record_response_start(self._speed())
         attempt.prefill_done()
         if self._delivery.streaming:
-            self._pass_on(attempt, self._delivery.split_events(data))
+            self._forward(attempt, self._delivery.split_events(data))
         elif self._delivery.buffer(data):
-            # Bounded in all, a long answer would be cut off and run anew.
-            self._watch_attempt()
+            # Each piece restarts the timer: a limit on the whole response
+            # would abort a long one and run the request again.
+            self._start_attempt_timer()
         else:
             attempt.conn.cancel()
             failure = outbound.Failure(
-                True, f'answer over {delivery.MAX_BUFFERED_BYTES} bytes')
+                True, f'response over {delivery.MAX_BUFFERED_BYTES} bytes')
             self.on_attempt_failed(attempt, failure)
 
-    def _pass_on(self, attempt, data):
+    def _forward(self, attempt, data):
         if not data:
             return
         attempt.record_events(self._delivery.event_count)
-        if self._restorable():
+        if self._can_restore():
             self._set_attempt_timer(attempt_timeouts.BACKUP_GAP_S)
         elif self.attempts.may_run_concurrently(self.terms):
             self._set_attempt_timer(attempt_timeouts.STREAM_GAP_S)
@@ -231,15 +239,15 @@
             attempt.pause()
 
     def on_caller_drained(self):
-        """Called when the caller has taken all that was sent to it."""
+        """Called when all bytes for the caller were sent."""
         if self._attempt is not None:
             self._attempt.conn.resume()
 
-    def on_response_end(self, attempt, answer):
-        """Called when an answer is whole."""
+    def on_response_end(self, attempt, response):
+        """Called when a response is complete."""
         self._close_attempt(attempt)
-        if answer.not_run:
-            self._refused(attempt, answer)
+        if response.not_run:
+            self._on_refused(attempt, response)
             return
         health = attempt.replica.target
         health.record_success()
@@ -247,39 +255,41 @@
         self.node.crashes.ran(self.digest)
         attempt.record_duration(self._speed())
         self.node.work.answered(
-            attempt.replica, answer.status < INTERNAL_ERROR_STATUS or
-            answer.status == TIMEOUT_STATUS)
-        if answer.success and not answer.genuine:
+            attempt.replica, response.status < INTERNAL_ERROR_STATUS or
+            response.status == TIMEOUT_STATUS)
+        if response.success and not response.genuine:
             health.record_failure(time.monotonic())
-            self._again_or_unknown('its answer is not its own')
+            self._retry_or_fail_unknown(
+                'the response was not produced by the replica, or was altered')
         elif self._delivery.streaming:
             self._delivery.end()
             self.close(outcomes.Outcome.SERVED)
         elif self._delivery.resuming:
-            self._again_or_unknown(f'resuming gave {answer.status}')
-        elif answer.status != INTERNAL_ERROR_STATUS or not self.again(
+            self._retry_or_fail_unknown(
+                f'resuming the stream got status {response.status}')
+        elif response.status != INTERNAL_ERROR_STATUS or not self.again(
                 f'status {INTERNAL_ERROR_STATUS}'):
-            # Without another replica to ask, a failure's own answer is the
-            # best that the caller can get, so it is passed on too.
-            self._delivery.send_buffered(answer)
-            self.close(outcomes.Outcome.SERVED if answer.success else outcomes.
-                       Outcome.REPLICA_FAILED)
+            # If no other replica can be tried, the error response of this
+            # one is the best that the caller can get, so it is forwarded.
+            self._delivery.send_buffered(response)
+            self.close(outcomes.Outcome.SERVED if response.
+                       success else outcomes.Outcome.REPLICA_FAILED)
 
-    def _refused(self, attempt, answer):
+    def _on_refused(self, attempt, response):
         self.attempts.record_refusal()
-        if answer.misdirected:
+        if response.misdirected:
             self.node.fleet.replaced(attempt.replica.record.id)
         self.log.info('not_run',
                       replica=attempt.replica.record.id,
-                      status=answer.status,
-                      load=answer.load)
+                      status=response.status,
+                      load=response.load)
         self.again_or(
             errors.ReplicaRefusedError(
-                f'the replica refused it ({answer.status})',
+                f'the replica refused the request ({response.status})',
                 retry_after=retry_delay.short_delay_s()), 'not run')
 
     def on_attempt_failed(self, attempt, failure):
-        """Called when an attempt ended without a whole answer."""
+        """Called when an attempt ended without a complete response."""
         self._close_attempt(attempt)
         now = time.monotonic()
         attempt.replica.target.record_failure(now)
@@ -294,61 +304,67 @@
         elif failure.broke:
             run = crashes.Run(self.digest,
                               attempt.sent_at,
-                              attempt.first_at,
+                              attempt.first_byte_at,
                               again=len(self.attempts.replicas) > 1)
             self.node.crashes.broke(
                 attempt.replica, run,
-                lambda: self._after_failure(attempt, failure.reason))
+                lambda: self._handle_failure(attempt, failure.reason))
         else:
-            self._after_failure(attempt, failure.reason)
+            self._handle_failure(attempt, failure.reason)
 
-    def _after_failure(self, attempt, reason):
+    def _handle_failure(self, attempt, reason):
         if self.done:
             return
         if self.node.crashes.suspects.must_serialize(self.digest):
             self.fail(self.attempts.outcome_unknown_error(reason))
-        elif self._restorable():
-            self._look_after(attempt, reason)
+        elif self._can_restore():
+            self._probe_replica(attempt, reason)
         else:
-            self._again_or_unknown(reason)
+            self._retry_or_fail_unknown(reason)
 
-    def _again_or_unknown(self, reason):
+    def _retry_or_fail_unknown(self, reason):
         self.again_or(self.attempts.outcome_unknown_error(reason), reason)
 
     def discard(self):
         """See ``serving.Serving``."""
         self._delivery.discard()
 
-    # -- going on from a copy --------------------------------------------------
+    # -- continuing from a KV backup -------------------------------------------
 
-    def _restorable(self):
-        """Whether the run has a copy and the caller part of its answer."""
-        return self._copy.available and self._delivery.last_event_id is not None
+    def _can_restore(self):
+        """Whether a KV backup exists and the caller has part of the stream."""
+        return (self._backup.available and
+                self._delivery.last_event_id is not None)
 
-    def _look_after(self, attempt, broken=None):
-        """Looks whether the replica of a broken or silent stream is there."""
+    def _probe_replica(self, attempt, failure_reason=None):
+        """Probes the replica of a failed or silent stream, then continues.
 
-        def looked(alive):
+        Args:
+            attempt: The ``sending.Attempt``.
+            failure_reason: Why the attempt failed; None if it is only silent.
+        """
+
+        def on_probed(alive):
             if not alive:
                 self._restore(attempt)
-            elif broken:
-                self._again_or_unknown(broken)
+            elif failure_reason:
+                self._retry_or_fail_unknown(failure_reason)
             else:
                 self._set_attempt_timer(attempt_timeouts.BACKUP_GAP_S)
 
-        self._copy.probe(attempt.replica, looked)
+        self._backup.probe(attempt.replica, on_probed)
 
     def _restore(self, attempt):
-        """Goes on at the replica that has the copy of the run's memory."""
+        """Continues the run at the replica that has its KV backup."""
         if self._attempt is not None:
             attempt.conn.cancel()
             self._close_attempt(attempt)
             attempt.replica.target.record_failure(time.monotonic())
-        replica = self._copy.claim()
+        replica = self._backup.claim()
         if (replica is None or not self._budget().acquire(time.monotonic())):
             self.fail(
                 self.attempts.outcome_unknown_error(
-                    'its replica is gone, and no copy is left'))
+                    'its replica is gone, and no KV backup is available'))
             return
         self.log.info('restored',
                       gone=attempt.replica.record.id,
@@ -358,38 +374,40 @@
             self._grant.renew()
             if not self.node.crashes.begin(self.digest, self):
                 raise self.attempts.outcome_unknown_error(
-                    'another run of it is under way')
+                    'another run of the request is in progress')
             self._send(replica,
                        placement.Choice(replica.target),
-                       from_copy=True)
+                       from_backup=True)
         except errors.GorsefallError as exc:
             self.fail(self.attempts.reportable_error(exc, str(exc), self.terms))
 
     # -- endings ---------------------------------------------------------------
 
     def on_caller_disconnected(self):
-        """The caller's channel ended: stops the replica's work."""
-        self._drop_attempt()
+        """Called when the caller disconnected; cancels the attempt."""
+        self._cancel_attempt()
         self.close(outcomes.Outcome.CALLER_LEFT)
 
-    def _time_up(self):
-        self._drop_attempt()
+    def _on_deadline(self):
+        self._cancel_attempt()
         if self.attempts.in_doubt:
-            self.fail(errors.TimedOutError('no whole answer in time'))
+            self.fail(
+                errors.TimedOutError(
+                    'no complete response before the deadline'))
         else:
             self.fail(
-                errors.DeadlineError('could not be sent in time',
+                errors.DeadlineError('could not be sent before the deadline',
                                      retry_after=retry_delay.short_delay_s()))
 
     def abort(self):
-        """Ends the exchange because the process ends."""
-        self._drop_attempt()
+        """Ends the exchange because the process exits."""
+        self._cancel_attempt()
         why = 'the entry is shutting down'
         self.fail(
             self.attempts.reportable_error(errors.DrainingError(why), why,
                                            self.terms))
 
-    def _drop_attempt(self):
+    def _cancel_attempt(self):
         attempt = self._attempt
         if attempt is not None:
             if not attempt.conn.cancel():
@@ -416,7 +434,7 @@
         """See ``serving.Serving``."""
         if self._deadline_timer is not None:
             self._deadline_timer.cancel()
-        self._copy.cancel_probe()
+        self._backup.cancel_probe()
         self.node.crashes.ended(self.digest, self)
         accesslog.record(self,
                          self._grant,
@@ -427,6 +445,6 @@
         self.node.remove_exchange(self)
 
     def _last_event(self):
-        """Returns the id of the last event passed on, or None."""
+        """Returns the id of the last event forwarded, str, or None."""
         last_id = self._delivery.last_event_id
         return None if last_id is None else last_id.decode('latin-1')
--- a/gorsefall/relay/grant.py
+++ b/gorsefall/relay/grant.py
@@ -1,4 +1,4 @@
-"""What the configuration in force grants a request: route, account, place."""
+"""Applies the current configuration to a request: route, account, replica."""
 
 import time
 
@@ -14,15 +14,16 @@
 
 
 class Grant:
-    """A request's route and account, renewed before each send.
+    """A request's route and account, checked again before each attempt.
 
     Attributes:
         route: The ``model.Route``; None until one was found.
         account: The ``model.Account``; None on public routes.
-        service: Name of the service it goes to.
-        once: Whether any route it had forbids a second run.
-        want: The ``knowledge.RequestProfile`` that its last place was
-            chosen for.
+        service: Name of the service that the request is sent to.
+        non_repeatable: Whether any route that the request matched
+            forbids a second run.
+        profile: The ``knowledge.RequestProfile`` of the last
+            choice of a replica.
     """
 
     def __init__(self, node, req):
@@ -35,12 +36,13 @@
         self.profile = knowledge.RequestProfile(zone=node.cfg.zone)
 
     def renew(self):
-        """Finds route and account in the configuration in force now.
+        """Looks up route and account in the current configuration.
 
         Raises:
-            errors.NoCatalogueError: No configuration is known yet.
-            errors.BadRequestError: No route, or no valid key.
-            errors.UnprovenError: The key might be revoked by now.
+            errors.NoCatalogueError: No configuration was read yet.
+            errors.BadRequestError: No route matches, or the key is invalid.
+            errors.UnprovenError: The key may have been revoked since the
+                configuration was last confirmed.
         """
         table = directory.known(self._node.table)
         route = table.match(self._req)
@@ -50,14 +52,14 @@
             self.non_repeatable = self.non_repeatable or not route.repeatable
         account = table.account(self._req, route)
         if account is not None and not self._node.confirmation.is_current():
-            self._unproven(table)
+            self._handle_unconfirmed(table)
         self.account = account
 
-    def _unproven(self, table):
-        """Refuses a key that may be revoked by now, or lets it go on.
+    def _handle_unconfirmed(self, table):
+        """Handles a key that may have been revoked in the meantime.
 
-        Where revocation need not hold while the store is away, a caller with
-        a known key is better served than refused.
+        With strict revocation the request is refused. Otherwise it is served,
+        as a known key is most likely still valid.
         """
         if self._node.cfg.strict_revocation:
             raise errors.UnprovenError(
@@ -68,21 +70,21 @@
 
     @property
     def streams(self):
-        """Whether its answer is a stream of events."""
+        """Whether the response is an event stream."""
         return self.route.kind is model.RouteKind.STREAM
 
     @property
     def rank(self):
-        """How urgent it is among all that ask, 0 the most."""
+        """Rank for admission at this entry, 0 is the most urgent."""
         return self._node.table.rank(self.account, self.route)
 
     @property
     def urgency(self):
-        """How urgent it is at its replica, 0 the most."""
+        """Rank in the queue of its replica, 0 is the most urgent."""
         return self._node.table.urgency(self.account, self.route)
 
-    def _see(self):
-        """Returns its ``knowledge.RequestProfile`` on the terms granted now."""
+    def _build_profile(self):
+        """Returns the request's current ``knowledge.RequestProfile``."""
         zone = self._node.cfg.zone
         prompt = self._req.prompt
         if prompt is None:
@@ -98,7 +100,7 @@
 
     @property
     def needs_backup(self):
-        """Whether another replica had better copy its run as it grows."""
+        """Whether its run should be backed up to another replica."""
         service = self._node.table.services.get(self.service)
         return (service is not None and service.kv_backups and self.streams and
                 self.profile.decode_heavy)
@@ -108,22 +110,24 @@
         return self.route.target_s * 1000
 
     def record_arrival(self):
-        """Notes the request among those for its service."""
+        """Counts the request for its service and rank."""
         self._node.work.ranks(self.service).record_request(
             self.rank, self._target_ms)
 
-    def attempt_options(self, record, *, time_left_s, backup, from_copy,
+    def attempt_options(self, record, *, time_left_s, backup, from_backup,
                         resume_after, source):
-        """Returns the ``model.AttemptOptions`` for a send.
+        """Returns the ``model.AttemptOptions`` of an attempt.
 
         Args:
             record: The ``model.ReplicaRecord`` of the replica.
-            time_left_s: How long it may work on the request, s.
-            backup: Address of the replica that copies the run, or None.
-            from_copy: Whether it goes on from a copy that it keeps.
-            resume_after: Id of the last event delivered, or None.
-            source: The ``knowledge.ReplicaView`` to fetch cached parts from, or
+            time_left_s: How long the replica may work on the request, s.
+            backup: Address of the replica that receives the KV backup, or
                 None.
+            from_backup: Whether the replica continues from its KV backup of
+                the run.
+            resume_after: Id of the last event forwarded, or None.
+            source: The ``knowledge.ReplicaView`` of the replica to fetch cached
+                prompt parts from, or None.
         """
         return model.AttemptOptions(
             replica=record.id,
@@ -131,30 +135,31 @@
             account=self.account.name if self.account else None,
             priority=self.urgency,
             backup_to=backup,
-            restore_from=record.addr if from_copy else None,
+            restore_from=record.addr if from_backup else None,
             resume_after=resume_after,
             fetch_from=self._node.work.addr_of(source))
 
-    def choose_replica(self, tried, *, refuse, emptiest=False):
-        """Chooses where it goes.
+    def choose_replica(self, tried, *, may_shed, least_loaded=False):
+        """Chooses the replica for the next attempt.
 
         Args:
-            tried: Ids of the replicas it was sent to.
-            refuse: Whether it may be refused when it would only come late.
-            emptiest: Whether it goes where the fewest requests are, as it may
-                end those there.
+            tried: Ids of the replicas that the request was sent to.
+            may_shed: Whether the request may be refused if it would miss its
+                latency target.
+            least_loaded: Whether to choose among the replicas with the fewest
+                requests, because this request may crash its replica.
 
         Returns:
-            The ``placement.Choice``, or None when no replica is left.
+            The ``placement.Choice``, or None if no replica is available.
 
         Raises:
-            errors.ShedError: It would only come late.
+            errors.ShedError: The queue of the best replica is too long.
         """
         work = self._node.work
-        self.profile = self._see()
+        self.profile = self._build_profile()
         urgent = work.ranks(self.service).is_most_urgent(self.rank)
         targets = work.targets(self.service, tried, urgent=urgent)
-        if emptiest:
+        if least_loaded:
             targets = placement.with_fewest_requests(targets)
         choice = placement.choose(targets,
                                   self.profile,
@@ -164,16 +169,15 @@
         if choice is None:
             return None
         metrics.QUEUE_MS.labels(self.service).set(choice.queue_ms)
-        if refuse:
-            self._refuse_late(choice)
+        if may_shed:
+            self._shed_if_late(choice)
         return choice
 
-    def _refuse_late(self, choice):
+    def _shed_if_late(self, choice):
         limit_ms = self.profile.queue_limit_ms
         wait_s = overload.retry_after_s(choice, limit_ms)
         if wait_s is not None:
             raise errors.ShedError(
-                f'{choice.queue_ms:.0f} ms of work wait at '
-                f'{choice.target.name}, the best replica; {limit_ms:.0f} ms '
-                'are its limit',
+                f'the queue of {choice.target.name}, the best replica, takes '
+                f'{choice.queue_ms:.0f} ms; the limit is {limit_ms:.0f} ms',
                 retry_after=wait_s)
--- a/gorsefall/relay/node.py
+++ b/gorsefall/relay/node.py
@@ -1,4 +1,4 @@
-"""A relay entry: wires listeners, followers, fleet and exchanges."""
+"""A relay entry: connects listeners, followers, replicas and exchanges."""
 
 import os
 import signal
@@ -30,20 +30,21 @@
 from gorsefall.relay import workload
 
 READY_CONFIRMATION_SHARE = 0.9
-"""Part of the proof's bound after which the entry reports itself not ready,
-so that the balancer prefers entries that reach the store."""
+"""Share of the maximum confirmation age after which the entry reports itself
+as not ready, so that the load balancer prefers entries that reach the store."""
 
 LAME_DUCK_S = 3.0
 """Time after the stop signal in which new requests are still served, s: the
-balancer asks once a second and goes by two misses."""
+load balancer checks once a second and acts after two failed checks."""
 
 KILL_MARGIN_S = 0.7
-"""Time before the platform's kill at which what still runs is ended, s."""
+"""Time before the kill by the platform at which the remaining exchanges are
+ended, s."""
 
 DRAIN_POLL_S = 0.05
 SETTINGS_POLL_S = 2.0
-"""How often the settings file is looked at, s: it may change without a
-signal."""
+"""Period of the checks whether the settings file changed, s: it may change
+without a signal."""
 
 
 class Node(daemon.Daemon):
@@ -54,14 +55,14 @@
         codec: The ``codec.Codec`` of the wire.
         loop: The ``reactor.Reactor``.
         table: The ``routes.Table`` in force; None before the first.
-        proof: The ``freshness.Confirmation`` of the table.
+        confirmation: The ``freshness.Confirmation`` of the table.
         fleet: The ``fleet.Fleet``.
-        ends: The ``ends.Ends`` of its replicas.
+        prober: The ``ends.Ends`` of its replicas.
         crashes: The ``crashes.Crashes`` of requests there.
         work: The ``workload.Workload`` at its replicas.
         announcing: The ``announcing.Announcing`` of its replicas' limits.
         share: The ``traffic_share.TrafficShare`` of this entry.
-        replicas_known: Whether the replicas were listed once.
+        replicas_known: Whether a snapshot of the replicas was read.
     """
     channel = 'node'
 
@@ -70,10 +71,10 @@
 
         Args:
             path: Settings file.
-            adapter: Gives ``codec``, ``records`` and
-                ``source(loop, addr, topic)`` of the wire, and the names of its
-            topics: ``configuration_topic``, ``replicas_topic`` and
-            ``crashes_topic``.
+            adapter: Provides ``codec``, ``records`` and
+                ``source(loop, addr, topic)`` of the wire, and the names of
+                the topics: ``configuration_topic``, ``replicas_topic`` and
+                ``crashes_topic``.
         """
         self.cfg = settings.load(path)
         super().__init__(logs.get('node').bind(entry=self.cfg.name))
@@ -83,7 +84,7 @@
         self.table = None
         self.confirmation = freshness.Confirmation(self.cfg.revoke_s -
                                                    pacing.PROOF_MARGIN_S)
-        self.fleet = fleet.Fleet(self.loop, self._work_changed)
+        self.fleet = fleet.Fleet(self.loop, self._on_load_changed)
         self.prober = ends.Ends(self.loop)
         self.crashes = crashes.Crashes(self.loop, self.prober, self.fleet)
         self.work = workload.Workload(self.cfg.name, self.fleet,
@@ -92,17 +93,17 @@
                                                 self.work.view.members)
         self._peers = None
         self.replicas_known = False
-        self._proven = False
+        self._confirmed = False
         self.share = traffic_share.TrafficShare()
         self._budgets = {}
-        self._patience = {}
+        self._start_latencies = {}
         self._reads = following.Following(self, adapter)
         self._remembered = remembered.Remembered(
             self.loop,
             adapter.source(self.loop, settingsfile.split_addr(self.cfg.store),
                            adapter.crashes_topic), self.crashes)
         self._exchanges = set()
-        self._settings_seen = self._settings_stamp()
+        self._settings_version = self._read_settings_version()
 
     def start(self):
         """Opens the listeners and starts following the store."""
@@ -120,7 +121,7 @@
             self._peers = peers.Peers(self,
                                       settingsfile.split_addr(self.cfg.peers),
                                       self.cfg.seed_hosts)
-            self._share_beliefs()
+            self._register_handlers()
             self._peers.start()
         self._reads.start(self._peers)
         self.crashes.start(self._peers)
@@ -128,29 +129,29 @@
         self._remembered.start(
             lambda: self._reads.reads,
             self._peers.heartbeat_s if self._peers else lambda: 0.0)
-        self.loop.later(SETTINGS_POLL_S, self._look_at_settings)
+        self.loop.later(SETTINGS_POLL_S, self._check_settings)
         self.log.info('started',
                       zone=self.cfg.zone,
                       callers=self.cfg.callers,
                       store=self.cfg.store)
 
-    def _share_beliefs(self):
-        self._peers.on_status = self._told
+    def _register_handlers(self):
+        self._peers.on_status = self._handle_status
         self._peers.read(
             messages.Suspects,
             lambda message, host: self.crashes.take(message.sightings))
         self._peers.read(messages.AskSuspects,
                          lambda message, host: self.crashes.asked(host))
 
-    def _told(self, status, host):
+    def _handle_status(self, status, host):
         self.crashes.heard(status, host)
         self.announcing.heard(status)
         self.fleet.heard(status, self.loop.now)
 
-    # -- what is believed ------------------------------------------------------
+    # -- observed state --------------------------------------------------------
 
     def adopt(self, table):
-        """Adopts a configuration unless a newer one is in force."""
+        """Puts a configuration in force unless a newer one is."""
         old = self.table.version if self.table else None
         if old is not None and table.version <= old:
             return
@@ -163,28 +164,32 @@
                       keys=len(table.accounts))
 
     def record_confirmation(self, sent_at):
-        """Notes that the configuration was confirmed."""
+        """Records that a read confirmed the configuration.
+
+        Args:
+            sent_at: When the read was sent, s (monotonic).
+        """
         self.confirmation.record_read(sent_at)
-        if not self._proven:
-            self._proven = True
+        if not self._confirmed:
+            self._confirmed = True
             self.log.info('proof_regained',
                           age_s=self.confirmation.logged_age_s())
 
     def is_ready(self):
-        """Returns whether new work may come here."""
+        """Returns whether the entry should receive new requests."""
         if self.draining or self.table is None or not self.replicas_known:
             return False
-        fresh = self.confirmation.age_s(
-        ) <= self.confirmation.bound_s * READY_CONFIRMATION_SHARE
-        if not fresh and self._proven:
-            self._proven = False
+        fresh = (self.confirmation.age_s()
+                 <= self.confirmation.bound_s * READY_CONFIRMATION_SHARE)
+        if not fresh and self._confirmed:
+            self._confirmed = False
             self.log.warning('proof_lost',
                              age_s=self.confirmation.logged_age_s(),
                              told_by=self._reads.told_by)
         return (fresh or not self.table.keyed or not self.cfg.strict_revocation)
 
     def retry_budget(self, service):
-        """Returns the ``budget.Budget`` of a service."""
+        """Returns the retry ``budget.Budget`` of a service."""
         found = self._budgets.get(service)
         if found is None:
             found = self._budgets[service] = budget.Budget(
@@ -192,15 +197,15 @@
                 lambda: self.work.others_firsts(service))
         return found
 
-    def _work_changed(self):
+    def _on_load_changed(self):
         if self._peers is not None:
             self._peers.changed()
 
     def status(self, boot, seq, hosts):
-        """Returns the ``membership.Status`` to tell the other entries."""
+        """Returns the ``membership.Status`` for the other entries."""
         firsts = {
-            service: known.first_attempts(self.loop.now)
-            for service, known in self._budgets.items()
+            service: service_budget.first_attempts(self.loop.now)
+            for service, service_budget in self._budgets.items()
         }
         return self.work.status(
             boot,
@@ -215,7 +220,7 @@
             replica_exits=self.fleet.ended_of_late(self.loop.now))
 
     def record_load(self, replica, load):
-        """Notes the ``model.Load`` that a replica told with an answer."""
+        """Records the ``model.Load`` that a replica sent with a response."""
         replicas = self.fleet.of(replica.record.service)
         self.share.record_sample(own=sum(
             r.target.outstanding for r in replicas),
@@ -227,31 +232,31 @@
 
     def start_latency(self, service, kind):
         """Returns a service's and kind's ``attempt_timeouts.StartLatency``."""
-        return self._patience.setdefault((service, kind),
-                                         attempt_timeouts.StartLatency())
+        return self._start_latencies.setdefault((service, kind),
+                                                attempt_timeouts.StartLatency())
 
     # -- requests --------------------------------------------------------------
 
-    def start_exchange(self, method, target, fields, body, reply):
-        """Starts the exchange of a caller's request; returns it."""
+    def start_exchange(self, method, target, fields, body, writer):
+        """Starts the exchange of a caller's request; returns it or None."""
         try:
             req = self.codec.decode_request(method, target, fields)
         except errors.BadRequestError as exc:
             self.log.info('bad_request', error=str(exc))
-            reply.send(*outcomes.error_response(exc))
+            writer.send(*outcomes.error_response(exc))
             return None
         req.body, req.body_digest = bytes(body.data), body.digest
-        running = exchange.Exchange(self, req, reply)
-        self._exchanges.add(running)
-        running.start()
-        return running
+        new = exchange.Exchange(self, req, writer)
+        self._exchanges.add(new)
+        new.start()
+        return new
 
-    def remove_exchange(self, ended):
-        """Called by an exchange at its end."""
-        self._exchanges.discard(ended)
+    def remove_exchange(self, exchange_):
+        """Called by an exchange when it has ended."""
+        self._exchanges.discard(exchange_)
 
     def update_gauges(self):
-        """Sets the gauges of what is believed and under way now."""
+        """Sets the gauges to the current state."""
         metrics.RELAY_RUNNING.set(self.under_way)
         metrics.PROOF_AGE.set(self.confirmation.age_s())
         if self.table is not None:
@@ -260,40 +265,41 @@
                 metrics.REPLICAS_KNOWN.labels(service).set(
                     len(self.fleet.candidates(service, ())))
         now = self.loop.now
-        for service, known in self._budgets.items():
-            metrics.RETRIES_LEFT.labels(service).set(known.available(now))
+        for service, service_budget in self._budgets.items():
+            metrics.RETRIES_LEFT.labels(service).set(
+                service_budget.available(now))
 
     # -- settings --------------------------------------------------------------
 
-    def _settings_stamp(self):
+    def _read_settings_version(self):
         try:
             stat = os.stat(self._path)
         except OSError:
             return None
         return stat.st_mtime_ns, stat.st_size, stat.st_ino
 
-    def _look_at_settings(self):
-        self.loop.later(SETTINGS_POLL_S, self._look_at_settings)
-        stamp = self._settings_stamp()
-        if stamp != self._settings_seen:
-            self._settings_seen = stamp
+    def _check_settings(self):
+        self.loop.later(SETTINGS_POLL_S, self._check_settings)
+        version = self._read_settings_version()
+        if version != self._settings_version:
+            self._settings_version = version
             self._reload()
 
     def _reload(self):
-        before = self.cfg
+        old = self.cfg
         try:
             self.cfg = settings.load(self._path)
         except errors.SettingsError as exc:
-            # The file may be half written; what is in force stays, and the
-            # next change is read again.
+            # The file may be half written. The current settings stay in
+            # force, and the file is read again after its next change.
             self.log.error('reload_failed', error=str(exc))
             return
         self.confirmation.bound_s = self.cfg.revoke_s - pacing.PROOF_MARGIN_S
-        for known in self._budgets.values():
-            # Their counts stay: retries that were forgotten would be allowed
-            # once more by every change of the settings.
-            known.allowance = self.cfg.retries
-        self._reads.settings_changed(before)
+        for service_budget in self._budgets.values():
+            # The counts are kept: otherwise every change of the settings
+            # would allow the retries of the window once more.
+            service_budget.allowance = self.cfg.retries
+        self._reads.settings_changed(old)
         if self._peers is not None:
             self._peers.seeds_changed(self.cfg.seed_hosts)
         self.log.info('reloaded', store=self.cfg.store)
@@ -317,23 +323,25 @@
 
     def stopping(self):
         """See ``daemon.Daemon``."""
-        self.loop.later(LAME_DUCK_S, self._refuse_channels)
+        self.loop.later(LAME_DUCK_S, self._close_listener)
 
-    def _refuse_channels(self):
-        # A request taken late may outlast the grace time and be cut. A
-        # caller whose channel is refused tries another entry at once.
+    def _close_listener(self):
+        # A request accepted late might not end within the grace time and be
+        # aborted. A caller whose connection is refused tries another entry at
+        # once.
         self._listener.close()
         self.log.info('no_new_channels', running=self.under_way)
         self._check_drained()
 
     def _check_drained(self):
-        # Idle channels are closed before those in use end: a caller whose
-        # next request crosses the close was not read and tries elsewhere.
+        # Idle connections are closed while others are still in use. If a
+        # request arrives as its connection closes, it is not read, and its
+        # caller tries another entry.
         self._callers.close_idle()
         now = self.loop.now
         if self.shutdown.is_overdue(now):
-            for running in list(self._exchanges):
-                running.abort()
+            for active in list(self._exchanges):
+                active.abort()
         if self.shutdown.is_finished(
                 now, self.under_way or self._callers.has_unsent()):
             self._finish()
@@ -341,8 +349,8 @@
         self.loop.later(DRAIN_POLL_S, self._check_drained)
 
     def _finish(self):
-        # From here to the exit nothing more may be read: a request that is
-        # read in between would be sent to a replica and then cut.
+        # No request may be read between here and the exit: it would be sent
+        # to a replica and then aborted.
         self._callers.close_all()
         self.log.info('stopped')
         self.stop()
@@ -352,7 +360,7 @@
     """Runs a relay entry until it is stopped.
 
     Raises:
-        errors.SettingsError: The settings file is at fault.
+        errors.SettingsError: The settings file is invalid.
     """
     node = Node(path, adapter)
     signal.signal(signal.SIGHUP,
--- a/gorsefall/relay/sending.py
+++ b/gorsefall/relay/sending.py
@@ -1,4 +1,4 @@
-"""One send of a request to one replica."""
+"""One attempt: a request sent to one replica."""
 
 import contextlib
 import time
@@ -9,35 +9,43 @@
 
 
 class Attempt(outbound.Call):
-    """One send of an exchange's request to one replica.
-
-    The ``placement.Choice`` tells what is expected there.
+    """Sends the request of an exchange to one replica.
+
+    Attributes:
+        replica: The ``fleet.Replica``.
+        sent_at: When the request was sent, s (monotonic).
+        first_byte_at: When the first body bytes of the response arrived, s;
+            None before.
+        conn: The connection in use; has ``cancel``, ``pause`` and ``resume``.
+        occupancy: Counts the request as in flight at the replica until closed.
+        prefill_done: Call it when the response starts: the prompt tokens
+            no longer wait for prefill.
     """
 
-    def __init__(self, exchange, replica, order, choice, *, writes):
+    def __init__(self, exchange, replica, options, choice, *, decode_heavy):
         req = exchange.req
-        fields = exchange.node.codec.encode_request(req, order)
+        fields = exchange.node.codec.encode_request(req, options)
         super().__init__(req.method, req.target, fields, req.body)
         self._exchange = exchange
-        self._priority = order.priority
-        self._answer = None
+        self._priority = options.priority
+        self._response = None
         self.replica = replica
         self.sent_at = time.monotonic()
-        self.first_at = None
-        self._pulse = stalls.StreamMonitor(replica.target)
+        self.first_byte_at = None
+        self._stream_monitor = stalls.StreamMonitor(replica.target)
         self._choice = choice
         self.conn = None
         self.occupancy = contextlib.ExitStack()
         self.prefill_done = self.occupancy.enter_context(
-            replica.occupied(choice.prefill_tokens, writes=writes))
+            replica.occupied(choice.prefill_tokens, writes=decode_heavy))
 
     @property
     def response_started(self):
-        """Whether the first of its answer has come."""
-        return self.first_at is not None
+        """Whether the first bytes of the response body have arrived."""
+        return self.first_byte_at is not None
 
     def log_sent(self, service, number):
-        """Logs what decided the send; it is that ``number`` of its request."""
+        """Logs attempt ``number`` and the data its replica was chosen by."""
         choice, target, node = (self._choice, self.replica.target,
                                 self._exchange.node)
         self._exchange.log.info(
@@ -57,45 +65,46 @@
             version=node.table.version,
             proof_age_s=node.confirmation.logged_age_s())
 
-    def record_response_start(self, known):
-        """Tells its service's ``pace.ServiceSpeed`` when its answer began."""
-        known.record_start(
+    def record_response_start(self, speed):
+        """Updates a ``pace.ServiceSpeed`` with the time until the response."""
+        speed.record_start(
             (time.monotonic() - self.sent_at) * 1000,
             self._choice.prefill_tokens_ahead + self._choice.prefill_tokens,
             self._choice.slowness)
 
-    def record_duration(self, known):
-        """Tells the ``pace.ServiceSpeed`` of its service how long it stayed."""
-        known.residence.record((time.monotonic() - self.sent_at) * 1000)
+    def record_duration(self, speed):
+        """Updates a ``pace.ServiceSpeed`` with the duration of the run."""
+        speed.residence.record((time.monotonic() - self.sent_at) * 1000)
 
     def record_events(self, count):
-        """Notes that events of its stream came together."""
-        self._pulse.record_events(count, time.monotonic())
+        """Records that ``count`` events arrived together."""
+        self._stream_monitor.record_events(count, time.monotonic())
 
     @property
     def longest_pause_s(self):
-        """Longest pause between events of its stream, s."""
-        return self._pulse.longest_pause_s
+        """Longest pause between events of the stream, s."""
+        return self._stream_monitor.longest_pause_s
 
     def pause(self):
-        """Reads no more until its caller has taken what came."""
-        self._pulse.record_pause()
+        """Stops reading until the caller has received the data so far."""
+        self._stream_monitor.record_pause()
         self.conn.pause()
 
     def is_mine(self, status, fields):
         """See ``outbound.Call``."""
-        self._answer = self._exchange.node.codec.decode_response(status, fields)
-        return self._answer.request_id in (None, self._exchange.req.id)
+        self._response = self._exchange.node.codec.decode_response(
+            status, fields)
+        return self._response.request_id in (None, self._exchange.req.id)
 
     def on_head(self, status, fields):
         """See ``outbound.Call``; ``is_mine`` has decoded it."""
-        load = self._answer.load
+        load = self._response.load
         if load is not None:
             self._exchange.node.record_load(self.replica, load)
-        if not self._answer.misdirected:
+        if not self._response.misdirected:
             self._exchange.node.announcing.answered(self.replica,
-                                                    self._answer.limit_per_s)
-        self._exchange.on_response_head(self._answer)
+                                                    self._response.limit_per_s)
+        self._exchange.on_response_head(self._response)
 
     def on_data(self, data):
         """See ``outbound.Call``."""
@@ -103,7 +112,7 @@
 
     def on_end(self):
         """See ``outbound.Call``."""
-        self._exchange.on_response_end(self, self._answer)
+        self._exchange.on_response_end(self, self._response)
 
     def on_fail(self, failure):
         """See ``outbound.Call``."""
