--- a/tests/test_inbound.py
+++ b/tests/test_inbound.py
@@ -1,4 +1,4 @@
-"""Callers' requests, however their bytes are cut, against the originals."""
+"""Requests of callers are parsed correctly however their bytes are split."""
 
 import socket
 
@@ -13,22 +13,22 @@
 
 
 class Server:
-    """Answers each request with its own body and keeps what came."""
+    """Responds to each request with its own body; records all requests."""
     limits = model.CallerLimits(header_bytes=2000, body_bytes=500)
     draining = False
 
     def __init__(self):
-        self.seen = []
+        self.requests = []
         self.closed = 0
 
-    def handle_request(self, method, target, fields, body, reply):
-        self.seen.append((method, target, bytes(body.data)))
-        reply.send(200, [(b'X-Target', target)], bytes(body.data))
+    def handle_request(self, method, target, fields, body, writer):
+        self.requests.append((method, target, bytes(body.data)))
+        writer.send(200, [(b'X-Target', target)], bytes(body.data))
 
     def error_response(self, exc):
         return outcomes.error_response(exc)
 
-    def on_conn_closed(self, channel):
+    def on_conn_closed(self, conn):
         self.closed += 1
 
 
@@ -52,13 +52,20 @@
 
 
 def converse(data, cuts, enough):
-    """Sends ``data`` in pieces; returns the server and what it answered."""
+    """Sends ``data`` in pieces; returns the server and the bytes received.
+
+    Args:
+        data: Bytes to send.
+        cuts: Offsets at which the data is split.
+        enough: Called with the server and the bytes received so far; returns
+            whether the conversation is over.
+    """
     server = Server()
     client, accepted = _connected()
     got = bytearray()
     client.setblocking(False)
 
-    def read():
+    def receive():
         try:
             got.extend(client.recv(65536))
         except BlockingIOError:
@@ -72,7 +79,7 @@
             client.sendall(data[start:cut])
             start = cut
             loop.step(0.002)
-        peers.run(loop, read)
+        peers.run(loop, receive)
     client.close()
     return server, bytes(got)
 
@@ -86,16 +93,16 @@
 @settings(max_examples=60, deadline=None)
 @given(_REQUESTS, st.lists(st.integers(0, 2000), max_size=8))
 def test_requests_arrive_as_sent(requests, cuts):
-    """Requests run into each other.
+    """Pipelined requests are kept apart.
 
-    Symptom: a replica runs bytes that no caller sent as a request. Cause:
-    a body's end mistaken, or a request that was read ahead lost.
+    Otherwise a replica runs bytes that no caller sent as a request, because
+    the end of a body was misjudged or a request that was read ahead is lost.
     """
     data = b''.join(encode(*r) for r in requests)
     server, got = converse(
         data, cuts, lambda s, got: got.count(b'HTTP/1.1 200') == len(requests)
         and got.endswith(requests[-1][1]))
-    assert server.seen == [(b'POST', t, b) for t, b, _ in requests]
+    assert server.requests == [(b'POST', t, b) for t, b, _ in requests]
     at = 0
     for target, body, _ in requests:
         at = got.index(target, at)
@@ -104,75 +111,78 @@
 
 @settings(max_examples=40, deadline=None)
 @given(st.binary(min_size=1, max_size=200))
-def test_bytes_that_are_no_request_reach_nobody(junk):
-    """Smuggled request: what is not HTTP is answered 400, or read on."""
-    data = junk.replace(b'\r', b'').replace(b'\n', b'') + b'\r\n\r\n'
+def test_invalid_bytes_reach_no_replica(invalid):
+    """Bytes that aren't HTTP get a 400, or more bytes are awaited.
+
+    Otherwise a request could be smuggled in.
+    """
+    data = invalid.replace(b'\r', b'').replace(b'\n', b'') + b'\r\n\r\n'
     server, got = converse(
         data, [],
         lambda s, got: s.closed or data.strip() == b'' or b' 400 ' in got)
-    assert not server.seen
+    assert not server.requests
     assert b' 200 ' not in got
 
 
-def test_two_lengths_are_refused():
-    """Request smuggling by two framings."""
+def test_two_content_lengths_are_refused():
+    """Two Content-Length fields would allow request smuggling."""
     data = (b'POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n'
             b'Content-Length: 30\r\n\r\nabc')
     server, got = converse(data, [], lambda s, got: b' 400 ' in got)
-    assert not server.seen
+    assert not server.requests
 
 
 class Streaming(Server):
-    """Begins an answer to the first request, and answers others whole."""
+    """Starts a stream for the first request; responds to others completely."""
 
     def __init__(self):
         super().__init__()
-        self.reply = None
+        self.writer = None
 
-    def handle_request(self, method, target, fields, body, reply):
-        self.seen.append((method, target, bytes(body.data)))
-        if self.reply is not None:
-            reply.send(200, [], bytes(body.data))
+    def handle_request(self, method, target, fields, body, writer):
+        self.requests.append((method, target, bytes(body.data)))
+        if self.writer is not None:
+            writer.send(200, [], bytes(body.data))
             return
-        self.reply = reply
-        reply.start(200, [])
+        self.writer = writer
+        writer.start(200, [])
 
 
-def test_a_channel_whose_answer_ends_late_in_a_shutdown_is_closed():
-    """A stream that is cut at the end of a shutdown.
+def test_connection_closes_after_a_response_that_ends_late_in_shutdown():
+    """Guards against a response that is cut off at the end of a shutdown.
 
-    Symptom: a request that was sent 6.5 s after the stop signal is passed on
-    and its answer cut at the end of the grace time. Sequence: an answer began
-    before the signal, so its head announced no close; it ends late, and the
-    caller's next request comes before idle channels are looked for. Cause:
-    the channel stayed open after the answer.
+    A response started before the stop signal, so its head didn't announce the
+    close. It ends late, and the caller's next request, sent 6.5 s after the
+    signal, arrives before idle connections are closed. If the connection
+    stays open after the response, that request is forwarded, and its response
+    is cut off at the end of the grace time.
     """
     server = Streaming()
     with peers.loop() as loop:
         client, accepted = _connected()
-        channel = inbound.CallerConnection(loop, server, accepted)
+        conn = inbound.CallerConnection(loop, server, accepted)
         client.sendall(encode(b'/long', b'', False))
-        peers.run(loop, lambda: server.reply)
+        peers.run(loop, lambda: server.writer)
         server.draining = True
-        server.reply.end()
+        server.writer.end()
         client.sendall(encode(b'/next', b'', False))
         peers.run(loop, lambda: server.closed)
-        assert not channel.has_unsent
+        assert not conn.has_unsent
     client.close()
-    assert [target for _, target, _ in server.seen] == [b'/long']
+    assert [target for _, target, _ in server.requests] == [b'/long']
 
 
-def test_what_came_before_the_answer_ended_is_served_in_a_shutdown():
-    """A request that was already here when the stream before it ended."""
+def test_request_received_before_the_response_ended_is_served_in_shutdown():
+    """A request that was received before the previous stream ended."""
     server = Streaming()
     with peers.loop() as loop:
         client, accepted = _connected()
         inbound.CallerConnection(loop, server, accepted)
         client.sendall(
             encode(b'/long', b'', False) + encode(b'/next', b'', False))
-        peers.run(loop, lambda: server.reply)
+        peers.run(loop, lambda: server.writer)
         server.draining = True
-        server.reply.end()
+        server.writer.end()
         peers.run(loop, lambda: server.closed)
     client.close()
-    assert [target for _, target, _ in server.seen] == [b'/long', b'/next']
+    assert [target for _, target, _ in server.requests] == [b'/long', b'/next']
--- a/tests/test_relay_settings.py
+++ b/tests/test_relay_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a relay entry: every fault is named, and nothing starts."""
+"""Settings of a relay entry: every error names its field."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from gorsefall.relay import pacing
 from gorsefall.relay import settings
 
-SOUND = """
+VALID = """
 name = "entry-1"
 zone = "z1"
 callers = "10.0.0.1:8000"
@@ -16,8 +16,8 @@
 """
 
 
-def test_sound_settings_have_their_defaults():
-    cfg = settings.loads(SOUND)
+def test_valid_settings_get_the_defaults():
+    cfg = settings.loads(VALID)
     assert (cfg.revoke_s, cfg.grace_s, cfg.metrics_port) == (5.0, 8.0, 9464)
     assert cfg.retries.window_s == 10.0
 
@@ -33,25 +33,28 @@
     (('zone = "z1"', 'zone = '), 'TOML'),
     (('zone = "z1"', 'zone = "z1"\nmetrics_port = 70000'), 'metrics_port'),
 ])
-def test_a_fault_names_its_field(change, named):
-    """An entry that starts with half of its settings does harm later."""
+def test_an_error_names_its_field(change, named):
+    """An entry must not start with incomplete or invalid settings."""
     with pytest.raises(errors.SettingsError) as info:
-        settings.loads(SOUND.replace(*change), 'x.toml')
+        settings.loads(VALID.replace(*change), 'x.toml')
     assert named.lower() in str(info.value).lower()
     assert 'x.toml' in str(info.value)
 
 
 @pytest.mark.parametrize(('leave_s', 'pause_s'), [(2.0, 1.4), (3.0, 2.4),
                                                   (0.5, 0.2)])
-def test_replicas_are_read_as_often_as_their_leaving_asks(leave_s, pause_s):
-    """Symptom: 80 entries pay a third of what they earn for calls to the
-    store. Cause: replicas were read every 1.4 s, whatever bound was set."""
-    cfg = settings.loads(f'{SOUND}leave_s = {leave_s}')
+def test_leave_s_sets_how_often_replicas_are_read(leave_s, pause_s):
+    """Reading the replicas more often than ``leave_s`` requires is costly.
+
+    With a fixed pause of 1.4 s, the calls to the store cost 80 entries a third
+    of what they earn.
+    """
+    cfg = settings.loads(f'{VALID}leave_s = {leave_s}')
     assert pacing.replicas_pause_s(cfg) == pytest.approx(pause_s)
 
 
-def test_all_faults_are_told_at_once():
-    text = SOUND.replace('8000', 'x').replace('8001', 'y')
+def test_all_errors_are_reported_at_once():
+    text = VALID.replace('8000', 'x').replace('8001', 'y')
     with pytest.raises(errors.SettingsError) as info:
         settings.loads(text)
     assert 'callers' in str(info.value) and 'readiness' in str(info.value)
@@ -59,8 +62,8 @@
 
 def test_the_command_checks_a_file(tmp_path, capsys):
     path = tmp_path / 'relay.toml'
-    path.write_text(SOUND)
+    path.write_text(VALID)
     assert cmdline.main(['check-settings', '--relay', str(path)]) == 0
-    path.write_text(SOUND.replace('"z1"', '""'))
+    path.write_text(VALID.replace('"z1"', '""'))
     assert cmdline.main(['check-settings', '--relay', str(path)]) == 2
     assert 'zone: must not be empty' in capsys.readouterr().err
--- a/tests/test_revocation.py
+++ b/tests/test_revocation.py
@@ -1,4 +1,4 @@
-"""Keys while the configuration cannot be confirmed, strict and not."""
+"""API keys while the configuration can't be confirmed."""
 
 import types
 
@@ -56,8 +56,8 @@
     return grant.Grant(entry, req)
 
 
-def test_known_keys_go_on_where_revocation_is_not_strict():
-    """Needless refusals while the store is away."""
+def test_known_keys_stay_valid_unless_revocation_is_strict():
+    """Requests must not be refused needlessly while the store is away."""
     found = _grant(_table(1, 'k'), 'k', strict=False)
     found.renew()
     assert found.account.name == 'a'
@@ -66,23 +66,23 @@
 
 
 @pytest.mark.parametrize('strict', [True, False])
-def test_a_key_seen_to_be_taken_away_is_denied_at_once(strict):
+def test_a_key_known_to_be_revoked_is_denied_at_once(strict):
     with pytest.raises(errors.UnknownKeyError):
         _grant(_table(2), 'k', strict=strict).renew()
 
 
-def test_a_lost_answer_is_noticed_before_the_configuration_is_overdue():
-    """A confirmed change that is not in force in time."""
+def test_a_lost_response_is_detected_before_the_configuration_is_overdue():
+    """A lost response to a read must not delay a change past its bound."""
     for apply_s, settle_s in ((2.0, 3.0), (3.0, 4.0), (1.0, 0.5)):
         cfg = _settings(strict_revocation=False,
                         apply_s=apply_s,
                         settle_s=settle_s)
         wait_s = pacing.config_wait_s(cfg)
-        noticed_s = wait_s + topic.SILENCE_S
-        assert (noticed_s < max(apply_s, settle_s) or
+        detected_s = wait_s + topic.SILENCE_S
+        assert (detected_s < max(apply_s, settle_s) or
                 wait_s == pacing.CONFIG_WAIT_MIN_S)
 
 
-def test_waits_are_short_where_revocation_is_strict():
+def test_waits_are_short_if_revocation_is_strict():
     cfg = _settings(strict_revocation=True)
     assert pacing.config_wait_s(cfg) <= pacing.CONFIG_WAIT_S
