--- a/gorsefall/relay/backups.py
+++ b/gorsefall/relay/backups.py
@@ -3,7 +3,7 @@
 import time
 
 from gorsefall.policy import placement
-from gorsefall.relay import ends
+from gorsefall.relay import prober
 
 
 class KvBackup:
@@ -13,7 +13,7 @@
         """Creates the state of a run without a backup.
 
         Args:
-            prober: The ``ends.Ends``.
+            prober: The ``prober.ReplicaProber``.
             replicas: The ``fleet.Fleet``.
         """
         self._prober = prober
@@ -37,8 +37,8 @@
         Returns:
             The ``(host, port)`` of the replica, or None if there is none.
         """
-        target = placement.choose_backup([r.target for r in candidates],
-                                         request, time.monotonic())
+        target = placement.choose_backup([r.view for r in candidates], request,
+                                         time.monotonic())
         if target is None:
             self._holder = None
             return None
@@ -53,12 +53,12 @@
         if self._on_probed is not None:
             return
         self._on_probed = done
-        self._prober.look(replica, self._handle_verdict)
+        self._prober.probe(replica, self._handle_verdict)
 
     def _handle_verdict(self, verdict):
         done, self._on_probed = self._on_probed, None
         if done is not None:
-            done(verdict is ends.Verdict.ALIVE)
+            done(verdict is prober.Verdict.ALIVE)
 
     def claim(self):
         """Returns the ``fleet.Replica`` that holds the backup, or None.
--- a/gorsefall/relay/exchange.py
+++ b/gorsefall/relay/exchange.py
@@ -91,7 +91,7 @@
 
     def _speed(self):
         """Returns the ``pace.ServiceSpeed`` of its service's replicas."""
-        return self.node.work.service(self._grant.service).speed
+        return self.node.work.service_state(self._grant.service).speed
 
     def _time_left(self):
         return self._deadline - time.monotonic()
@@ -111,7 +111,7 @@
             # Checked again before each further attempt, because the key may
             # have been revoked or the route changed in the meantime.
             self._grant.renew()
-        if not self.node.crashes.begin(self.digest, self):
+        if not self.node.crashes.try_begin_run(self.digest, self):
             return
         choice = self._grant.choose_replica(
             self.attempts.tried,
@@ -137,7 +137,7 @@
             resume_after=self._delivery.last_event_id,
             source=choice.fetch_source)
         if self.req.prompt is not None:
-            self.node.work.prompt_sent(replica, self.req.prompt.shared)
+            self.node.work.record_prompt(replica, self.req.prompt.shared)
         self._attempt = sending.Attempt(
             self,
             replica,
@@ -194,8 +194,8 @@
         """Whether a retry is allowed and another replica is available."""
         return (self.attempts.may_run_concurrently(self.terms) and
                 self._budget().available(time.monotonic()) >= 1 and bool(
-                    self.node.work.targets(self._grant.service,
-                                           self.attempts.tried)))
+                    self.node.work.candidate_views(self._grant.service,
+                                                   self.attempts.tried)))
 
     def _record_wait(self, attempt):
         self._start_latency().record(time.monotonic() - attempt.sent_at)
@@ -249,12 +249,12 @@
         if response.not_run:
             self._on_refused(attempt, response)
             return
-        health = attempt.replica.target
+        health = attempt.replica.view
         health.record_success()
-        attempt.replica.ended_at = None
-        self.node.crashes.ran(self.digest)
+        attempt.replica.exited_at = None
+        self.node.crashes.record_completed_run(self.digest)
         attempt.record_duration(self._speed())
-        self.node.work.answered(
+        self.node.work.record_response(
             attempt.replica, response.status < INTERNAL_ERROR_STATUS or
             response.status == TIMEOUT_STATUS)
         if response.success and not response.genuine:
@@ -278,7 +278,7 @@
     def _on_refused(self, attempt, response):
         self.attempts.record_refusal()
         if response.misdirected:
-            self.node.fleet.replaced(attempt.replica.record.id)
+            self.node.fleet.drop_replaced(attempt.replica.record.id)
         self.log.info('not_run',
                       replica=attempt.replica.record.id,
                       status=response.status,
@@ -292,7 +292,7 @@
         """Called when an attempt ended without a complete response."""
         self._close_attempt(attempt)
         now = time.monotonic()
-        attempt.replica.target.record_failure(now)
+        attempt.replica.view.record_failure(now)
         self.log.info('attempt_failed',
                       replica=attempt.replica.record.id,
                       reason=failure.reason,
@@ -302,11 +302,12 @@
             self.attempts.record_unreached()
             self.restart()
         elif failure.broke:
-            run = crashes.Run(self.digest,
-                              attempt.sent_at,
-                              attempt.first_byte_at,
-                              again=len(self.attempts.replicas) > 1)
-            self.node.crashes.broke(
+            run = crashes.BrokenRun(self.digest,
+                                    attempt.sent_at,
+                                    attempt.first_byte_at,
+                                    after_broken_run=len(self.attempts.replicas)
+                                    > 1)
+            self.node.crashes.handle_broken_run(
                 attempt.replica, run,
                 lambda: self._handle_failure(attempt, failure.reason))
         else:
@@ -359,7 +360,7 @@
         if self._attempt is not None:
             attempt.conn.cancel()
             self._close_attempt(attempt)
-            attempt.replica.target.record_failure(time.monotonic())
+            attempt.replica.view.record_failure(time.monotonic())
         replica = self._backup.claim()
         if (replica is None or not self._budget().acquire(time.monotonic())):
             self.fail(
@@ -372,11 +373,11 @@
                       after=self._last_event())
         try:
             self._grant.renew()
-            if not self.node.crashes.begin(self.digest, self):
+            if not self.node.crashes.try_begin_run(self.digest, self):
                 raise self.attempts.outcome_unknown_error(
                     'another run of the request is in progress')
             self._send(replica,
-                       placement.Choice(replica.target),
+                       placement.Choice(replica.view),
                        from_backup=True)
         except errors.GorsefallError as exc:
             self.fail(self.attempts.reportable_error(exc, str(exc), self.terms))
@@ -435,7 +436,7 @@
         if self._deadline_timer is not None:
             self._deadline_timer.cancel()
         self._backup.cancel_probe()
-        self.node.crashes.ended(self.digest, self)
+        self.node.crashes.end_run(self.digest, self)
         accesslog.record(self,
                          self._grant,
                          outcome,
--- a/gorsefall/relay/grant.py
+++ b/gorsefall/relay/grant.py
@@ -76,12 +76,12 @@
     @property
     def rank(self):
         """Rank for admission at this entry, 0 is the most urgent."""
-        return self._node.table.rank(self.account, self.route)
+        return self._node.table.admission_rank(self.account, self.route)
 
     @property
     def urgency(self):
         """Rank in the queue of its replica, 0 is the most urgent."""
-        return self._node.table.urgency(self.account, self.route)
+        return self._node.table.replica_rank(self.account, self.route)
 
     def _build_profile(self):
         """Returns the request's current ``knowledge.RequestProfile``."""
@@ -137,7 +137,7 @@
             backup_to=backup,
             restore_from=record.addr if from_backup else None,
             resume_after=resume_after,
-            fetch_from=self._node.work.addr_of(source))
+            fetch_from=self._node.work.replica_addr(source))
 
     def choose_replica(self, tried, *, may_shed, least_loaded=False):
         """Chooses the replica for the next attempt.
@@ -158,14 +158,14 @@
         work = self._node.work
         self.profile = self._build_profile()
         urgent = work.ranks(self.service).is_most_urgent(self.rank)
-        targets = work.targets(self.service, tried, urgent=urgent)
+        targets = work.candidate_views(self.service, tried, urgent=urgent)
         if least_loaded:
             targets = placement.with_fewest_requests(targets)
         choice = placement.choose(targets,
                                   self.profile,
-                                  work.service(self.service),
+                                  work.service_state(self.service),
                                   time.monotonic(),
-                                  sources=work.sources(self.service))
+                                  sources=work.draining_views(self.service))
         if choice is None:
             return None
         metrics.QUEUE_MS.labels(self.service).set(choice.queue_ms)
--- a/gorsefall/relay/node.py
+++ b/gorsefall/relay/node.py
@@ -14,17 +14,17 @@
 from gorsefall.policy import budget
 from gorsefall.policy import freshness
 from gorsefall.policy import traffic_share
-from gorsefall.relay import announcing
 from gorsefall.relay import crashes
-from gorsefall.relay import ends
+from gorsefall.relay import crashstore
 from gorsefall.relay import exchange
 from gorsefall.relay import fleet
-from gorsefall.relay import following
+from gorsefall.relay import followers
 from gorsefall.relay import messages
 from gorsefall.relay import outcomes
 from gorsefall.relay import pacing
 from gorsefall.relay import peers
-from gorsefall.relay import remembered
+from gorsefall.relay import prober
+from gorsefall.relay import replicalimits
 from gorsefall.relay import servers
 from gorsefall.relay import settings
 from gorsefall.relay import workload
@@ -57,10 +57,10 @@
         table: The ``routes.Table`` in force; None before the first.
         confirmation: The ``freshness.Confirmation`` of the table.
         fleet: The ``fleet.Fleet``.
-        prober: The ``ends.Ends`` of its replicas.
-        crashes: The ``crashes.Crashes`` of requests there.
+        prober: The ``prober.ReplicaProber`` of its replicas.
+        crashes: The ``crashes.CrashTracker`` of requests there.
         work: The ``workload.Workload`` at its replicas.
-        announcing: The ``announcing.Announcing`` of its replicas' limits.
+        limit_tracker: The ``replicalimits.LimitTracker`` of its replicas.
         share: The ``traffic_share.TrafficShare`` of this entry.
         replicas_known: Whether a snapshot of the replicas was read.
     """
@@ -83,22 +83,22 @@
         self.loop = reactor.Reactor().register(self)
         self.table = None
         self.confirmation = freshness.Confirmation(self.cfg.revoke_s -
-                                                   pacing.PROOF_MARGIN_S)
+                                                   pacing.CONFIRMATION_MARGIN_S)
         self.fleet = fleet.Fleet(self.loop, self._on_load_changed)
-        self.prober = ends.Ends(self.loop)
-        self.crashes = crashes.Crashes(self.loop, self.prober, self.fleet)
+        self.prober = prober.ReplicaProber(self.loop)
+        self.crashes = crashes.CrashTracker(self.loop, self.prober, self.fleet)
         self.work = workload.Workload(self.cfg.name, self.fleet,
                                       self.cfg.retries.window_s)
-        self.announcing = announcing.Announcing(self.loop, self.fleet,
-                                                self.work.view.members)
+        self.limit_tracker = replicalimits.LimitTracker(
+            self.loop, self.fleet, self.work.peer_view.members)
         self._peers = None
         self.replicas_known = False
         self._confirmed = False
         self.share = traffic_share.TrafficShare()
         self._budgets = {}
         self._start_latencies = {}
-        self._reads = following.Following(self, adapter)
-        self._remembered = remembered.Remembered(
+        self._followers = followers.Followers(self, adapter)
+        self._crash_store = crashstore.CrashStore(
             self.loop,
             adapter.source(self.loop, settingsfile.split_addr(self.cfg.store),
                            adapter.crashes_topic), self.crashes)
@@ -123,11 +123,11 @@
                                       self.cfg.seed_hosts)
             self._register_handlers()
             self._peers.start()
-        self._reads.start(self._peers)
+        self._followers.start(self._peers)
         self.crashes.start(self._peers)
-        self.announcing.start()
-        self._remembered.start(
-            lambda: self._reads.reads,
+        self.limit_tracker.start()
+        self._crash_store.start(
+            lambda: self._followers.is_reader,
             self._peers.heartbeat_s if self._peers else lambda: 0.0)
         self.loop.later(SETTINGS_POLL_S, self._check_settings)
         self.log.info('started',
@@ -137,16 +137,17 @@
 
     def _register_handlers(self):
         self._peers.on_status = self._handle_status
-        self._peers.read(
-            messages.Suspects,
-            lambda message, host: self.crashes.take(message.sightings))
-        self._peers.read(messages.AskSuspects,
-                         lambda message, host: self.crashes.asked(host))
+        self._peers.register_handler(
+            messages.Suspects, lambda message, host: self.crashes.merge_reports(
+                message.run_reports))
+        self._peers.register_handler(
+            messages.AskSuspects,
+            lambda message, host: self.crashes.send_suspects(host))
 
     def _handle_status(self, status, host):
-        self.crashes.heard(status, host)
-        self.announcing.heard(status)
-        self.fleet.heard(status, self.loop.now)
+        self.crashes.handle_status(status, host)
+        self.limit_tracker.handle_status(status)
+        self.fleet.handle_status(status, self.loop.now)
 
     # -- observed state --------------------------------------------------------
 
@@ -156,7 +157,7 @@
         if old is not None and table.version <= old:
             return
         self.table = table
-        self.fleet.services_changed(table.services)
+        self.fleet.set_services(table.services)
         self.log.info('configuration',
                       version=table.version,
                       before=old,
@@ -185,8 +186,9 @@
             self._confirmed = False
             self.log.warning('proof_lost',
                              age_s=self.confirmation.logged_age_s(),
-                             told_by=self._reads.told_by)
-        return (fresh or not self.table.keyed or not self.cfg.strict_revocation)
+                             told_by=self._followers.source_host)
+        return (fresh or not self.table.requires_key or
+                not self.cfg.strict_revocation)
 
     def retry_budget(self, service):
         """Returns the retry ``budget.Budget`` of a service."""
@@ -194,12 +196,12 @@
         if found is None:
             found = self._budgets[service] = budget.Budget(
                 self.cfg.retries, self.share,
-                lambda: self.work.others_firsts(service))
+                lambda: self.work.others_first_attempts(service))
         return found
 
     def _on_load_changed(self):
         if self._peers is not None:
-            self._peers.changed()
+            self._peers.schedule_status()
 
     def status(self, boot, seq, hosts):
         """Returns the ``membership.Status`` for the other entries."""
@@ -213,22 +215,21 @@
             hosts,
             first_attempts=firsts,
             zone=self.cfg.zone,
-            can_read_store=self._reads.able and not self.draining,
-            run_reports=self.crashes.told(self.loop.now),
+            can_read_store=self._followers.can_read_for_others and
+            not self.draining,
+            run_reports=self.crashes.recent_reports(self.loop.now),
             suspects_summary=self.crashes.suspects.summary,
-            limit_reports=self.announcing.told(self.loop.now),
-            replica_exits=self.fleet.ended_of_late(self.loop.now))
+            limit_reports=self.limit_tracker.recent_reports(self.loop.now),
+            replica_exits=self.fleet.recent_exits(self.loop.now))
 
     def record_load(self, replica, load):
         """Records the ``model.Load`` that a replica sent with a response."""
-        replicas = self.fleet.of(replica.record.service)
-        self.share.record_sample(own=sum(
-            r.target.outstanding for r in replicas),
+        replicas = self.fleet.of_service(replica.record.service)
+        self.share.record_sample(own=sum(r.view.outstanding for r in replicas),
                                  there=load.running + load.waiting,
                                  replicas=len(replicas))
-        if self.work.view.members.alone:
-            replica.target.record_load(load.running, load.waiting,
-                                       self.loop.now)
+        if self.work.peer_view.members.alone:
+            replica.view.record_load(load.running, load.waiting, self.loop.now)
 
     def start_latency(self, service, kind):
         """Returns a service's and kind's ``attempt_timeouts.StartLatency``."""
@@ -294,14 +295,15 @@
             # force, and the file is read again after its next change.
             self.log.error('reload_failed', error=str(exc))
             return
-        self.confirmation.bound_s = self.cfg.revoke_s - pacing.PROOF_MARGIN_S
+        self.confirmation.bound_s = (self.cfg.revoke_s -
+                                     pacing.CONFIRMATION_MARGIN_S)
         for service_budget in self._budgets.values():
             # The counts are kept: otherwise every change of the settings
             # would allow the retries of the window once more.
             service_budget.allowance = self.cfg.retries
-        self._reads.settings_changed(old)
+        self._followers.apply_settings(old)
         if self._peers is not None:
-            self._peers.seeds_changed(self.cfg.seed_hosts)
+            self._peers.set_seeds(self.cfg.seed_hosts)
         self.log.info('reloaded', store=self.cfg.store)
 
     # -- shutdown --------------------------------------------------------------
--- a/gorsefall/relay/sending.py
+++ b/gorsefall/relay/sending.py
@@ -32,12 +32,12 @@
         self.replica = replica
         self.sent_at = time.monotonic()
         self.first_byte_at = None
-        self._stream_monitor = stalls.StreamMonitor(replica.target)
+        self._stream_monitor = stalls.StreamMonitor(replica.view)
         self._choice = choice
         self.conn = None
         self.occupancy = contextlib.ExitStack()
         self.prefill_done = self.occupancy.enter_context(
-            replica.occupied(choice.prefill_tokens, writes=decode_heavy))
+            replica.in_flight(choice.prefill_tokens, decode_heavy=decode_heavy))
 
     @property
     def response_started(self):
@@ -46,7 +46,7 @@
 
     def log_sent(self, service, number):
         """Logs attempt ``number`` and the data its replica was chosen by."""
-        choice, target, node = (self._choice, self.replica.target,
+        choice, target, node = (self._choice, self.replica.view,
                                 self._exchange.node)
         self._exchange.log.info(
             'sent',
@@ -102,8 +102,8 @@
         if load is not None:
             self._exchange.node.record_load(self.replica, load)
         if not self._response.misdirected:
-            self._exchange.node.announcing.answered(self.replica,
-                                                    self._response.limit_per_s)
+            self._exchange.node.limit_tracker.record_response(
+                self.replica, self._response.limit_per_s)
         self._exchange.on_response_head(self._response)
 
     def on_data(self, data):
