--- a/gorsefall/relay/backups.py
+++ b/gorsefall/relay/backups.py
@@ -37,12 +37,12 @@
         Returns:
             The ``(host, port)`` of the replica, or None if there is none.
         """
-        target = placement.choose_backup([r.view for r in candidates], request,
-                                         time.monotonic())
-        if target is None:
+        view = placement.choose_backup([r.view for r in candidates], request,
+                                       time.monotonic())
+        if view is None:
             self._holder = None
             return None
-        self._holder = self._fleet.replicas[target.name]
+        self._holder = self._fleet.replicas[view.name]
         return self._holder.record.addr
 
     def probe(self, replica, done):
--- a/gorsefall/relay/exchange.py
+++ b/gorsefall/relay/exchange.py
@@ -249,8 +249,8 @@
         if response.not_run:
             self._on_refused(attempt, response)
             return
-        health = attempt.replica.view
-        health.record_success()
+        view = attempt.replica.view
+        view.record_success()
         attempt.replica.exited_at = None
         self.node.crashes.record_completed_run(self.digest)
         attempt.record_duration(self._speed())
@@ -258,7 +258,7 @@
             attempt.replica, response.status < INTERNAL_ERROR_STATUS or
             response.status == TIMEOUT_STATUS)
         if response.success and not response.genuine:
-            health.record_failure(time.monotonic())
+            view.record_failure(time.monotonic())
             self._retry_or_fail_unknown(
                 'the response was not produced by the replica, or was altered')
         elif self._delivery.streaming:
--- a/gorsefall/relay/grant.py
+++ b/gorsefall/relay/grant.py
@@ -20,10 +20,10 @@
         route: The ``model.Route``; None until one was found.
         account: The ``model.Account``; None on public routes.
         service: Name of the service that the request is sent to.
-        non_repeatable: Whether any route that the request matched
-            forbids a second run.
-        profile: The ``knowledge.RequestProfile`` of the last
-            choice of a replica.
+        non_repeatable: Whether any route that the request matched forbids a
+            second run.
+        profile: The ``knowledge.RequestProfile`` that the last replica was
+            chosen for.
     """
 
     def __init__(self, node, req):
@@ -59,7 +59,8 @@
         """Handles a key that may have been revoked in the meantime.
 
         With strict revocation the request is refused. Otherwise it is served,
-        as a known key is most likely still valid.
+        which is better for a caller with a known key than being refused while
+        the store is unreachable.
         """
         if self._node.cfg.strict_revocation:
             raise errors.UnprovenError(
--- a/gorsefall/relay/node.py
+++ b/gorsefall/relay/node.py
@@ -48,7 +48,7 @@
 
 
 class Node(daemon.Daemon):
-    """The relay entry's state and its tasks.
+    """A relay entry: owns its state and its tasks.
 
     Attributes:
         cfg: The ``settings.Relay``.
@@ -58,7 +58,7 @@
         confirmation: The ``freshness.Confirmation`` of the table.
         fleet: The ``fleet.Fleet``.
         prober: The ``prober.ReplicaProber`` of its replicas.
-        crashes: The ``crashes.CrashTracker`` of requests there.
+        crashes: The ``crashes.CrashTracker`` of its replicas.
         work: The ``workload.Workload`` at its replicas.
         limit_tracker: The ``replicalimits.LimitTracker`` of its replicas.
         share: The ``traffic_share.TrafficShare`` of this entry.
@@ -203,17 +203,23 @@
         if self._peers is not None:
             self._peers.schedule_status()
 
-    def status(self, boot, seq, hosts):
-        """Returns the ``membership.Status`` for the other entries."""
-        firsts = {
+    def status(self, started_at_ms, seq, known_hosts):
+        """Returns the ``membership.Status`` for the other entries.
+
+        Args:
+            started_at_ms: See ``workload.Workload.status``.
+            seq: See there.
+            known_hosts: See there.
+        """
+        first_attempts = {
             service: service_budget.first_attempts(self.loop.now)
             for service, service_budget in self._budgets.items()
         }
         return self.work.status(
-            boot,
+            started_at_ms,
             seq,
-            hosts,
-            first_attempts=firsts,
+            known_hosts,
+            first_attempts=first_attempts,
             zone=self.cfg.zone,
             can_read_store=self._followers.can_read_for_others and
             not self.draining,
@@ -232,7 +238,7 @@
             replica.view.record_load(load.running, load.waiting, self.loop.now)
 
     def start_latency(self, service, kind):
-        """Returns a service's and kind's ``attempt_timeouts.StartLatency``."""
+        """Returns the ``attempt_timeouts.StartLatency`` of service and kind."""
         return self._start_latencies.setdefault((service, kind),
                                                 attempt_timeouts.StartLatency())
 
--- a/gorsefall/relay/sending.py
+++ b/gorsefall/relay/sending.py
@@ -46,8 +46,8 @@
 
     def log_sent(self, service, number):
         """Logs attempt ``number`` and the data its replica was chosen by."""
-        choice, target, node = (self._choice, self.replica.view,
-                                self._exchange.node)
+        choice, view, node = (self._choice, self.replica.view,
+                              self._exchange.node)
         self._exchange.log.info(
             'sent',
             digest=digests.shown(self._exchange.digest),
@@ -55,8 +55,8 @@
             service=service,
             attempt=number,
             priority=self._priority,
-            outstanding=target.outstanding,
-            others=target.others_requests,
+            outstanding=view.outstanding,
+            others=view.others_requests,
             queue_ms=round(choice.queue_ms, 1),
             tokens=choice.prefill_tokens,
             ahead=round(choice.prefill_tokens_ahead),
