--- a/gorsefall/relay/exchange.py
+++ b/gorsefall/relay/exchange.py
@@ -69,8 +69,8 @@
         if self.req.time_left_s is not None:
             time_left_s = min(time_left_s, self.req.time_left_s)
         self._deadline = self.arrived + time_left_s
-        self._deadline_timer = self.node.loop.later(time_left_s,
-                                                    self._on_deadline)
+        self._deadline_timer = self.node.loop.call_later(
+            time_left_s, self._on_deadline)
         self._grant.record_arrival()
         self.go_on()
 
@@ -166,8 +166,8 @@
     def _set_attempt_timer(self, wait_s):
         if self._attempt_timer is not None:
             self._attempt_timer.cancel()
-        self._attempt_timer = self.node.loop.later(wait_s,
-                                                   self._on_attempt_timeout)
+        self._attempt_timer = self.node.loop.call_later(
+            wait_s, self._on_attempt_timeout)
 
     def _on_attempt_timeout(self):
         # A replica that hangs, or a connection dropped without a reset by
@@ -301,7 +301,7 @@
         if not failure.sent:
             self.attempts.record_unreached()
             self.restart()
-        elif failure.broke:
+        elif failure.connection_lost:
             run = crashes.BrokenRun(self.digest,
                                     attempt.sent_at,
                                     attempt.first_byte_at,
--- a/gorsefall/relay/fleet.py
+++ b/gorsefall/relay/fleet.py
@@ -67,7 +67,7 @@
         cap = max(2, int(service.max_connections * CONNECTION_SHARE))
         self.pool = outbound.Pool(loop,
                                   record.addr,
-                                  cap=cap,
+                                  max_size=cap,
                                   connect_timeout_s=CONNECT_TIMEOUT_S)
 
     def on_record_written(self, now):
@@ -263,7 +263,7 @@
         if self._away:
             self._away = False
             self._doubt_until = now + REWRITE_GRACE_S
-            self._loop.later(REWRITE_GRACE_S, self._settle)
+            self._loop.call_later(REWRITE_GRACE_S, self._settle)
 
     def _settle(self):
         if self._away:
@@ -301,7 +301,7 @@
             r for r in self.of_service(service)
             if r.record.id not in exclude and not r.record_malformed and
             r.record.status is model.ReplicaStatus.READY and
-            not r.pool.full() and r.limit.allows(now, urgent=urgent)
+            not r.pool.is_full() and r.limit.allows(now, urgent=urgent)
         ]
         return [r for r in live if not r.record_lapsed and r.exited_at is None
                ] or live
--- a/gorsefall/relay/inbound.py
+++ b/gorsefall/relay/inbound.py
@@ -110,7 +110,7 @@
     @property
     def has_unsent(self):
         """Whether response bytes are still to be sent to the caller."""
-        return bool(self._conn.unsent)
+        return bool(self._conn.unsent_bytes)
 
     def on_connected(self):
         """See ``tcp.Connection``; callers open the connection."""
@@ -145,7 +145,8 @@
     # -- reading ---------------------------------------------------------------
 
     def _advance(self):
-        while (not self._responding and not self._closing and self._conn.open):
+        while (not self._responding and not self._closing and
+               self._conn.is_open):
             event = self._h11.next_event()
             if event is h11.NEED_DATA:
                 if self._h11.they_are_waiting_for_100_continue:
@@ -195,7 +196,7 @@
         self._body = digests.Body()
         self._responding = True
         self._cancel_timer()
-        fields = headers.read(head.headers.raw_items())
+        fields = headers.from_items(head.headers.raw_items())
         exchange = self._server.handle_request(head.method, head.target, fields,
                                                body, ResponseWriter(self))
         if self._responding:
@@ -237,14 +238,14 @@
 
     def can_write(self):
         """Returns whether the caller reads fast enough to send it more."""
-        return self._conn.unsent < MAX_PENDING_BYTES
+        return self._conn.unsent_bytes < MAX_PENDING_BYTES
 
     def end(self):
         """Ends the response; then reads the next request or closes."""
         self._conn.write(self._h11.send(h11.EndOfMessage()))
         self._responding = False
         self._exchange = None
-        if not self._conn.open:
+        if not self._conn.is_open:
             return
         # A response head sent before a shutdown didn't announce the close, so
         # the caller may send another request, which couldn't be finished in
@@ -254,18 +255,18 @@
         if (last or self._closing or self._h11.our_state is not h11.DONE or
                 self._h11.their_state is not h11.DONE):
             self._closing = True
-            if not self._conn.unsent:
+            if not self._conn.unsent_bytes:
                 self.close()
             return
         self._h11.start_next_cycle()
         self._start_timer(self._limits.idle_timeout_s)
         self._conn.resume()
         if self._h11.trailing_data[0]:
-            self._loop.later(0, self._resume)
+            self._loop.call_later(0, self._resume)
 
     def _resume(self):
         try:
-            if self._conn.open:
+            if self._conn.is_open:
                 self._advance()
         except h11.RemoteProtocolError as exc:
             self._on_protocol_error(exc)
@@ -298,7 +299,7 @@
 
     def _start_timer(self, timeout_s):
         self._cancel_timer()
-        self._timer = self._loop.later(timeout_s, self._on_timeout)
+        self._timer = self._loop.call_later(timeout_s, self._on_timeout)
 
     def _cancel_timer(self):
         if self._timer is not None:
--- a/gorsefall/relay/node.py
+++ b/gorsefall/relay/node.py
@@ -129,7 +129,7 @@
         self._crash_store.start(
             lambda: self._followers.is_reader,
             self._peers.heartbeat_s if self._peers else lambda: 0.0)
-        self.loop.later(SETTINGS_POLL_S, self._check_settings)
+        self.loop.call_later(SETTINGS_POLL_S, self._check_settings)
         self.log.info('started',
                       zone=self.cfg.zone,
                       callers=self.cfg.callers,
@@ -286,7 +286,7 @@
         return stat.st_mtime_ns, stat.st_size, stat.st_ino
 
     def _check_settings(self):
-        self.loop.later(SETTINGS_POLL_S, self._check_settings)
+        self.loop.call_later(SETTINGS_POLL_S, self._check_settings)
         version = self._read_settings_version()
         if version != self._settings_version:
             self._settings_version = version
@@ -331,7 +331,7 @@
 
     def stopping(self):
         """See ``daemon.Daemon``."""
-        self.loop.later(LAME_DUCK_S, self._close_listener)
+        self.loop.call_later(LAME_DUCK_S, self._close_listener)
 
     def _close_listener(self):
         # A request accepted late might not end within the grace time and be
@@ -354,7 +354,7 @@
                 now, self.under_way or self._callers.has_unsent()):
             self._finish()
             return
-        self.loop.later(DRAIN_POLL_S, self._check_drained)
+        self.loop.call_later(DRAIN_POLL_S, self._check_drained)
 
     def _finish(self):
         # No request may be read between here and the exit: it would be sent
@@ -372,6 +372,6 @@
     """
     node = Node(path, adapter)
     signal.signal(signal.SIGHUP,
-                  lambda signo, stack: node.loop.later(0, node._reload))
+                  lambda signo, stack: node.loop.call_later(0, node._reload))
     node.start()
     node.run()
--- a/gorsefall/relay/sending.py
+++ b/gorsefall/relay/sending.py
@@ -90,14 +90,14 @@
         self._stream_monitor.record_pause()
         self.conn.pause()
 
-    def is_mine(self, status, fields):
+    def matches_response(self, status, fields):
         """See ``outbound.Call``."""
         self._response = self._exchange.node.codec.decode_response(
             status, fields)
         return self._response.request_id in (None, self._exchange.req.id)
 
     def on_head(self, status, fields):
-        """See ``outbound.Call``; ``is_mine`` has decoded it."""
+        """See ``outbound.Call``; ``matches_response`` has decoded it."""
         load = self._response.load
         if load is not None:
             self._exchange.node.record_load(self.replica, load)
--- a/gorsefall/relay/sharing.py
+++ b/gorsefall/relay/sharing.py
@@ -130,8 +130,8 @@
 
     def start(self):
         """Begins to ask once the others had time to speak."""
-        self._loop.later(self._ask_s * self._rng.uniform(*PAUSE_JITTER),
-                         self._round)
+        self._loop.call_later(self._ask_s * self._rng.uniform(*PAUSE_JITTER),
+                              self._round)
 
     def set_followers(self, topics, store, ask_s):
         """Adopts the followers of a store.
@@ -155,8 +155,8 @@
     # -- whether to read -------------------------------------------------------
 
     def _round(self):
-        self._loop.later(self._ask_s * self._rng.uniform(*PAUSE_JITTER),
-                         self._round)
+        self._loop.call_later(self._ask_s * self._rng.uniform(*PAUSE_JITTER),
+                              self._round)
         others = readers.with_store_access(self._others())
         # Where nobody reaches the store, those try who would read.
         contends = self.reaches_store() or not any(c.can_read for c in others)
@@ -219,8 +219,8 @@
             return
         number = self._rng.getrandbits(63)
         self._open = _Question(number, freshness.clock(), tuple(hosts))
-        self._loop.later(RESPONSE_TIMEOUT_S,
-                         functools.partial(self._unanswered, number))
+        self._loop.call_later(RESPONSE_TIMEOUT_S,
+                              functools.partial(self._unanswered, number))
         cut_off = any(t.follower.failed_reads for t in self._topics.values())
         self._send(messages.Ask(number, self._store, offsets, cut_off),
                    hosts[0])
@@ -245,7 +245,7 @@
         # answered, it is the store that is away, and time does not press.
         self._own_read_due = True
         within_s = FALLBACK_SPREAD_S if self._unheard else OUTAGE_SPREAD_S
-        self._loop.later(self._rng.uniform(0.0, within_s), self._read_old)
+        self._loop.call_later(self._rng.uniform(0.0, within_s), self._read_old)
 
     def _read_old(self):
         if self.is_reader or not self._in_vain:
@@ -257,8 +257,8 @@
             if followed.follower.age_s() > self._ask_s:
                 followed.follower.read_once()
         pause_s = self._ask_s if self.reaches_store() else OUTAGE_READ_PAUSE_S
-        self._loop.later(pause_s * self._rng.uniform(*PAUSE_JITTER),
-                         self._may_read_again)
+        self._loop.call_later(pause_s * self._rng.uniform(*PAUSE_JITTER),
+                              self._may_read_again)
 
     def _may_read_again(self):
         self._own_read_due = False
@@ -339,8 +339,8 @@
             for name, end in message.end_offsets.items())
         if missed and not self._hinted:
             self._hinted = True
-            self._loop.later(self._rng.uniform(0.0, HINT_SPREAD_S),
-                             functools.partial(self._follow_hint, host))
+            self._loop.call_later(self._rng.uniform(0.0, HINT_SPREAD_S),
+                                  functools.partial(self._follow_hint, host))
 
     def _follow_hint(self, host):
         self._hinted = False
--- a/gorsefall/relay/topic.py
+++ b/gorsefall/relay/topic.py
@@ -349,8 +349,8 @@
         if not self._leads:
             self._idle = True
         elif self.pace.pause_s:
-            self._loop.later(self.pace.pause_s,
-                             functools.partial(self._resume, self._turn))
+            self._loop.call_later(self.pace.pause_s,
+                                  functools.partial(self._resume, self._turn))
         else:
             self._read()
 
@@ -408,7 +408,8 @@
         pause = min(MAX_RETRY_PAUSE_S,
                     random.uniform(*RETRY_PAUSE_RANGE_S) * self._failures)
         turn = self._turn
-        self._loop.later(pause, lambda: again() if turn == self._turn else None)
+        self._loop.call_later(pause, lambda: again()
+                              if turn == self._turn else None)
 
 
 class MalformedRecords:
