--- a/gorsefall/relay/exchange.py
+++ b/gorsefall/relay/exchange.py
@@ -28,7 +28,7 @@
 """Statuses of a replica that failed, and of one that ran out of time."""
 
 
-class Exchange(serving.Serving):
+class Exchange(serving.ActiveRequest):
     """Sends one caller request to replicas until the caller has a response.
 
     Attributes:
@@ -62,21 +62,22 @@
             self.fail(exc)
             return
         account = self._grant.account
-        self.digest = digests.request(self.node.cfg.digest_key.encode(),
-                                      account.name if account else '',
-                                      self.req.target, self.req.body_digest)
+        self.digest = digests.request_digest(self.node.cfg.digest_key.encode(),
+                                             account.name if account else '',
+                                             self.req.target,
+                                             self.req.body_digest)
         time_left_s = self._grant.route.timeout_s
         if self.req.time_left_s is not None:
             time_left_s = min(time_left_s, self.req.time_left_s)
-        self._deadline = self.arrived + time_left_s
+        self._deadline = self.arrived_at + time_left_s
         self._deadline_timer = self.node.loop.call_later(
             time_left_s, self._on_deadline)
         self._grant.record_arrival()
-        self.go_on()
+        self.dispatch()
 
     @property
     def terms(self):
-        """See ``serving.Serving``."""
+        """See ``serving.ActiveRequest``."""
         return attempts.RetryTerms(repeatable=not self._grant.non_repeatable,
                                    max_attempts=self._grant.route.max_attempts)
 
@@ -96,8 +97,8 @@
     def _time_left(self):
         return self._deadline - time.monotonic()
 
-    def take_spare(self):
-        """See ``serving.Serving``."""
+    def claim_retry(self):
+        """See ``serving.ActiveRequest``."""
         return (bool(
             self.node.fleet.candidates(self._grant.service,
                                        self.attempts.tried)) and
@@ -106,7 +107,7 @@
     # -- sending ---------------------------------------------------------------
 
     def send_next(self):
-        """See ``serving.Serving``."""
+        """See ``serving.ActiveRequest``."""
         if self.attempts.tried:
             # Checked again before each further attempt, because the key may
             # have been revoked or the route changed in the meantime.
@@ -208,8 +209,8 @@
 
     def on_response_data(self, attempt, data):
         """Called with a piece of a response's body."""
-        if self.first_at is None:
-            self.first_at = time.monotonic()
+        if self.first_byte_at is None:
+            self.first_byte_at = time.monotonic()
         if not attempt.response_started:
             attempt.first_byte_at = time.monotonic()
             self._record_wait(attempt)
@@ -267,7 +268,7 @@
         elif self._delivery.resuming:
             self._retry_or_fail_unknown(
                 f'resuming the stream got status {response.status}')
-        elif response.status != INTERNAL_ERROR_STATUS or not self.again(
+        elif response.status != INTERNAL_ERROR_STATUS or not self.retry(
                 f'status {INTERNAL_ERROR_STATUS}'):
             # If no other replica can be tried, the error response of this
             # one is the best that the caller can get, so it is forwarded.
@@ -283,7 +284,7 @@
                       replica=attempt.replica.record.id,
                       status=response.status,
                       load=response.load)
-        self.again_or(
+        self.retry_or_fail(
             errors.ReplicaRefusedError(
                 f'the replica refused the request ({response.status})',
                 retry_after=retry_delay.short_delay_s()), 'not run')
@@ -324,10 +325,10 @@
             self._retry_or_fail_unknown(reason)
 
     def _retry_or_fail_unknown(self, reason):
-        self.again_or(self.attempts.outcome_unknown_error(reason), reason)
+        self.retry_or_fail(self.attempts.outcome_unknown_error(reason), reason)
 
-    def discard(self):
-        """See ``serving.Serving``."""
+    def discard_response(self):
+        """See ``serving.ActiveRequest``."""
         self._delivery.discard()
 
     # -- continuing from a KV backup -------------------------------------------
@@ -423,16 +424,16 @@
         if self._attempt_timer is not None:
             self._attempt_timer.cancel()
 
-    def tell(self, exc):
-        """See ``serving.Serving``."""
+    def send_error(self, exc):
+        """See ``serving.ActiveRequest``."""
         if self._delivery.started:
             self._delivery.abort()
             return outcomes.Outcome.BROKEN
         self._delivery.send_error(*outcomes.error_response(exc))
         return outcomes.outcome_of(exc)
 
-    def note_end(self, outcome, exc):
-        """See ``serving.Serving``."""
+    def record_end(self, outcome, exc):
+        """See ``serving.ActiveRequest``."""
         if self._deadline_timer is not None:
             self._deadline_timer.cancel()
         self._backup.cancel_probe()
--- a/gorsefall/relay/grant.py
+++ b/gorsefall/relay/grant.py
@@ -41,10 +41,10 @@
         Raises:
             errors.NoCatalogueError: No configuration was read yet.
             errors.BadRequestError: No route matches, or the key is invalid.
-            errors.UnprovenError: The key may have been revoked since the
+            errors.UnconfirmedError: The key may have been revoked since the
                 configuration was last confirmed.
         """
-        table = directory.known(self._node.table)
+        table = directory.require_loaded(self._node.table)
         route = table.match(self._req)
         if self.route != route:
             self.route = route
@@ -63,11 +63,11 @@
         the store is unreachable.
         """
         if self._node.cfg.strict_revocation:
-            raise errors.UnprovenError(
+            raise errors.UnconfirmedError(
                 f'configuration {table.version} was last confirmed '
                 f'{self._node.confirmation.age_s():.2f} s ago',
                 retry_after=retry_delay.short_delay_s())
-        metrics.UNPROVEN.inc()
+        metrics.UNCONFIRMED_REQUESTS.inc()
 
     @property
     def streams(self):
--- a/gorsefall/relay/node.py
+++ b/gorsefall/relay/node.py
@@ -264,12 +264,12 @@
 
     def update_gauges(self):
         """Sets the gauges to the current state."""
-        metrics.RELAY_RUNNING.set(self.under_way)
-        metrics.PROOF_AGE.set(self.confirmation.age_s())
+        metrics.RELAY_IN_FLIGHT.set(self.in_flight)
+        metrics.CONFIGURATION_AGE.set(self.confirmation.age_s())
         if self.table is not None:
             metrics.CATALOGUE_VERSION.set(self.table.version)
             for service in self.table.services:
-                metrics.REPLICAS_KNOWN.labels(service).set(
+                metrics.USABLE_REPLICAS.labels(service).set(
                     len(self.fleet.candidates(service, ())))
         now = self.loop.now
         for service, service_budget in self._budgets.items():
@@ -315,7 +315,7 @@
     # -- shutdown --------------------------------------------------------------
 
     @property
-    def under_way(self):
+    def in_flight(self):
         """See ``daemon.Daemon``."""
         return len(self._exchanges)
 
@@ -329,7 +329,7 @@
         """See ``daemon.Daemon``."""
         return self.cfg.grace_s - KILL_MARGIN_S
 
-    def stopping(self):
+    def on_drain(self):
         """See ``daemon.Daemon``."""
         self.loop.call_later(LAME_DUCK_S, self._close_listener)
 
@@ -338,7 +338,7 @@
         # aborted. A caller whose connection is refused tries another entry at
         # once.
         self._listener.close()
-        self.log.info('no_new_channels', running=self.under_way)
+        self.log.info('no_new_channels', running=self.in_flight)
         self._check_drained()
 
     def _check_drained(self):
@@ -351,7 +351,7 @@
             for active in list(self._exchanges):
                 active.abort()
         if self.shutdown.is_finished(
-                now, self.under_way or self._callers.has_unsent()):
+                now, self.in_flight or self._callers.has_unsent()):
             self._finish()
             return
         self.loop.call_later(DRAIN_POLL_S, self._check_drained)
