--- a/gorsefall/relay/backups.py
+++ b/gorsefall/relay/backups.py
@@ -9,14 +9,14 @@
 class KvBackup:
     """The KV backup of one run; a run restores from a backup at most once."""
 
-    def __init__(self, prober, replicas):
+    def __init__(self, replica_prober, replicas):
         """Creates the state of a run without a backup.
 
         Args:
-            prober: The ``prober.ReplicaProber``.
+            replica_prober: The ``prober.ReplicaProber``.
             replicas: The ``fleet.Fleet``.
         """
-        self._prober = prober
+        self._prober = replica_prober
         self._fleet = replicas
         self._holder = None
         self._on_probed = None
@@ -35,14 +35,14 @@
             request: The request's id.
 
         Returns:
-            The ``(host, port)`` of the replica, or None if there is none.
+            Its ``(host, port)``, or None when there is none.
         """
-        view = placement.choose_backup([r.view for r in candidates], request,
-                                       time.monotonic())
-        if view is None:
+        target = placement.choose_backup([r.view for r in candidates], request,
+                                         time.monotonic())
+        if target is None:
             self._holder = None
             return None
-        self._holder = self._fleet.replicas[view.name]
+        self._holder = self._fleet.replicas[target.name]
         return self._holder.record.addr
 
     def probe(self, replica, done):
@@ -67,8 +67,8 @@
         restart another ``Replica`` object has the same id.
         """
         holder, self._holder = self._holder, None
-        current = self._fleet.replicas.get(holder.record.id)
-        return holder if current is holder else None
+        known = self._fleet.replicas.get(holder.record.id)
+        return holder if known is holder else None
 
     def cancel_probe(self):
         """Ignores the result of a probe that is in progress."""
--- a/gorsefall/relay/node.py
+++ b/gorsefall/relay/node.py
@@ -42,6 +42,8 @@
 ended, s."""
 
 DRAIN_POLL_S = 0.05
+"""Period of the checks whether the drain is complete, s."""
+
 SETTINGS_POLL_S = 2.0
 """Period of the checks whether the settings file changed, s: it may change
 without a signal."""
@@ -67,7 +69,7 @@
     channel = 'node'
 
     def __init__(self, path, adapter):
-        """Creates the node.
+        """Creates an entry that is not started.
 
         Args:
             path: Settings file.
