--- a/gorsefall/directory.py
+++ b/gorsefall/directory.py
@@ -37,6 +37,6 @@
             retry.
     """
     if configuration is None:
-        raise errors.NoCatalogueError('no configuration has been loaded yet',
+        raise errors.NoCatalogueError('nothing to serve was read yet',
                                       retry_after=retry_delay.short_delay_s())
     return configuration
--- a/gorsefall/errors.py
+++ b/gorsefall/errors.py
@@ -249,7 +249,6 @@
     code = 'duplicate'
 
     def __init__(self, status, reply):
-        super().__init__(
-            'the request was run before; its response was too large to store')
+        super().__init__('ran before; its answer was too large to keep')
         self.status = status if reply is not None else 409
         self.reply = reply
--- a/gorsefall/net/outbound.py
+++ b/gorsefall/net/outbound.py
@@ -202,10 +202,9 @@
             # h11 also raises this error at a premature end of the stream,
             # which is a lost connection rather than malformed HTTP.
             if data:
-                self._fail(f'malformed HTTP response: {exc}')
+                self._fail(f'bad answer: {exc}')
             else:
-                self._fail_connection(
-                    'connection closed before the response was complete')
+                self._fail_connection('closed before its answer was whole')
 
     def _process_event(self):
         event = self._h11.next_event()
@@ -219,7 +218,7 @@
         elif isinstance(event, h11.EndOfMessage):
             self._on_message_end()
         elif isinstance(event, h11.ConnectionClosed):
-            self._fail_connection('connection closed before a response')
+            self._fail_connection('closed without an answer')
             return False
         return True
 
@@ -260,7 +259,7 @@
         call.on_end()
 
     def _on_connect_timeout(self):
-        self._fail('connect timeout')
+        self._fail('not connected in time')
 
     def _fail_connection(self, reason):
         self._fail(reason, connection_lost=True)
--- a/gorsefall/net/tcp.py
+++ b/gorsefall/net/tcp.py
@@ -166,7 +166,7 @@
 
     def on_handler_error(self):
         """See ``reactor.Handler``."""
-        self._fail('unhandled exception in a connection callback')
+        self._fail('fault in the handler')
 
     def _check_hang_up(self):
         code = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
--- a/gorsefall/policy/admission.py
+++ b/gorsefall/policy/admission.py
@@ -225,7 +225,7 @@
         if wait > ticket.target_s * WAIT_SHARE or now + wait > ticket.deadline:
             # It would be late and delay every request behind it (symptom: a
             # burst in which all requests of a class are served, none in time).
-            raise errors.ShedError('the request cannot start in time',
+            raise errors.ShedError('cannot start in time',
                                    retry_after=retry_delay.after_queue_s(wait))
         shed = []
         if len(self._waiting) >= self.queue_limit:
@@ -233,8 +233,7 @@
                          key=lambda t: (t.tier, t.arrived))
             if victim.tier <= ticket.tier:
                 raise errors.ShedError(
-                    'the queue is full',
-                    retry_after=retry_delay.after_queue_s(wait))
+                    'queue full', retry_after=retry_delay.after_queue_s(wait))
             del self._waiting[victim.rid]
             self.limiter.release(victim.scopes)
             shed.append(victim)
--- a/gorsefall/policy/attempts.py
+++ b/gorsefall/policy/attempts.py
@@ -84,7 +84,7 @@
     def outcome_unknown_error(self, reason):
         """Returns the error for a request that may have run."""
         return errors.OutcomeUnknownError(
-            f'{self.replicas[-1]} may have run the request: {reason}')
+            f'{self.replicas[-1]} may have run it: {reason}')
 
     def reportable_error(self, exc, reason, terms):
         """Returns ``exc``, or an error with an unknown outcome in its place.
--- a/gorsefall/policy/baselines.py
+++ b/gorsefall/policy/baselines.py
@@ -14,7 +14,7 @@
         """See ``admission.Admission.arrive``; sheds only the new request."""
         ticket.priority = FLAT_PRIORITY
         if len(self._waiting) >= self.queue_limit:
-            raise errors.ShedError('the queue is full', retry_after=1.0)
+            raise errors.ShedError('queue full', retry_after=1.0)
         self.limiter.admit(ticket.scopes, now, self.served_time_s)
         self._waiting[ticket.rid] = ticket
         if any(t.rid == ticket.rid for t in self.drain(now)):
--- a/gorsefall/policy/limits.py
+++ b/gorsefall/policy/limits.py
@@ -149,12 +149,11 @@
             use.bucket.refill(now, self._rate(key, use, rate))
             limit = self._concurrency(key, use, conc)
             if use.inflight >= limit:
-                raise errors.RateLimitedError(
-                    f'{key}: {limit} requests in flight at this entry',
-                    retry_after=hint_s)
+                raise errors.RateLimitedError(f'{key}: {limit} in flight here',
+                                              retry_after=hint_s)
             if use.bucket.level < 1.0:
                 raise errors.RateLimitedError(
-                    f'{key}: over {use.bucket.rate:.2f}/s at this entry',
+                    f'{key}: over {use.bucket.rate:.2f}/s here',
                     retry_after=use.bucket.wait_s())
             uses.append(use)
         for use in uses:
--- a/gorsefall/relay/crashes.py
+++ b/gorsefall/relay/crashes.py
@@ -105,7 +105,7 @@
             metrics.CRASHING_REQUESTS.labels('refused').inc()
             crashes = self.suspects.crashes(digest)
             raise errors.PoisonRequestError(
-                f'{len(crashes)} replicas crashed while running this request: '
+                f'{len(crashes)} replicas ended as they ran it: '
                 f'{", ".join(c.replica for c in crashes)}')
 
     def try_begin_run(self, digest, exchange):
--- a/gorsefall/relay/exchange.py
+++ b/gorsefall/relay/exchange.py
@@ -120,7 +120,7 @@
             least_loaded=self.node.crashes.suspects.must_serialize(self.digest))
         if choice is None:
             raise errors.NoReplicaError(
-                f'no untried replica of {self._grant.service} is available',
+                f'no replica of {self._grant.service} is left',
                 retry_after=retry_delay.short_delay_s())
         self._send(self.node.fleet.replicas[choice.target.name], choice)
 
@@ -225,7 +225,7 @@
         else:
             attempt.conn.cancel()
             failure = outbound.Failure(
-                True, f'response over {delivery.MAX_BUFFERED_BYTES} bytes')
+                True, f'answer over {delivery.MAX_BUFFERED_BYTES} bytes')
             self.on_attempt_failed(attempt, failure)
 
     def _forward(self, attempt, data):
@@ -260,14 +260,12 @@
             response.status == TIMEOUT_STATUS)
         if response.success and not response.genuine:
             view.record_failure(time.monotonic())
-            self._retry_or_fail_unknown(
-                'the response was not produced by the replica, or was altered')
+            self._retry_or_fail_unknown('its answer is not its own')
         elif self._delivery.streaming:
             self._delivery.end()
             self.close(outcomes.Outcome.SERVED)
         elif self._delivery.resuming:
-            self._retry_or_fail_unknown(
-                f'resuming the stream got status {response.status}')
+            self._retry_or_fail_unknown(f'resuming gave {response.status}')
         elif response.status != INTERNAL_ERROR_STATUS or not self.retry(
                 f'status {INTERNAL_ERROR_STATUS}'):
             # If no other replica can be tried, the error response of this
@@ -286,7 +284,7 @@
                       load=response.load)
         self.retry_or_fail(
             errors.ReplicaRefusedError(
-                f'the replica refused the request ({response.status})',
+                f'the replica refused it ({response.status})',
                 retry_after=retry_delay.short_delay_s()), 'not run')
 
     def on_attempt_failed(self, attempt, failure):
@@ -366,7 +364,7 @@
         if (replica is None or not self._budget().acquire(time.monotonic())):
             self.fail(
                 self.attempts.outcome_unknown_error(
-                    'its replica is gone, and no KV backup is available'))
+                    'its replica is gone, and no copy is left'))
             return
         self.log.info('restored',
                       gone=attempt.replica.record.id,
@@ -376,7 +374,7 @@
             self._grant.renew()
             if not self.node.crashes.try_begin_run(self.digest, self):
                 raise self.attempts.outcome_unknown_error(
-                    'another run of the request is in progress')
+                    'another run of it is under way')
             self._send(replica,
                        placement.Choice(replica.view),
                        from_backup=True)
@@ -393,12 +391,10 @@
     def _on_deadline(self):
         self._cancel_attempt()
         if self.attempts.in_doubt:
-            self.fail(
-                errors.TimedOutError(
-                    'no complete response before the deadline'))
+            self.fail(errors.TimedOutError('no whole answer in time'))
         else:
             self.fail(
-                errors.DeadlineError('could not be sent before the deadline',
+                errors.DeadlineError('could not be sent in time',
                                      retry_after=retry_delay.short_delay_s()))
 
     def abort(self):
--- a/gorsefall/relay/grant.py
+++ b/gorsefall/relay/grant.py
@@ -179,6 +179,7 @@
         wait_s = overload.retry_after_s(choice, limit_ms)
         if wait_s is not None:
             raise errors.ShedError(
-                f'the queue of {choice.target.name}, the best replica, takes '
-                f'{choice.queue_ms:.0f} ms; the limit is {limit_ms:.0f} ms',
+                f'{choice.queue_ms:.0f} ms of work wait at '
+                f'{choice.target.name}, the best replica; {limit_ms:.0f} ms '
+                'are its limit',
                 retry_after=wait_s)
--- a/gorsefall/relay/inbound.py
+++ b/gorsefall/relay/inbound.py
@@ -175,20 +175,20 @@
         if size > self._limits.header_bytes:
             self._refuse(
                 errors.HeadTooLargeError(
-                    f'request head exceeds {self._limits.header_bytes} bytes'))
+                    f'head over {self._limits.header_bytes} bytes'))
             return
         length = dict(event.headers).get(b'content-length')
         if length and int(length) > self._limits.body_bytes:
             self._refuse(
                 errors.BodyTooLargeError(
-                    f'request body exceeds {self._limits.body_bytes} bytes'))
+                    f'body over {self._limits.body_bytes} bytes'))
 
     def _on_data(self, data):
         self._body.add(data)
         if len(self._body.data) > self._limits.body_bytes:
             self._refuse(
                 errors.BodyTooLargeError(
-                    f'request body exceeds {self._limits.body_bytes} bytes'))
+                    f'body over {self._limits.body_bytes} bytes'))
 
     def _on_request_end(self):
         head, body = self._head, self._body
--- a/gorsefall/replies.py
+++ b/gorsefall/replies.py
@@ -67,7 +67,7 @@
     req.body.seek(0)
     raw = req.body.read(limit + 1)
     if len(raw) > limit:
-        raise errors.BodyTooLargeError(f'body exceeds {limit} bytes')
+        raise errors.BodyTooLargeError(f'body over {limit} bytes')
     try:
         return msgspec.json.decode(raw or b'{}', type=kind)
     except msgspec.ValidationError as exc:
--- a/gorsefall/streamprotocol.py
+++ b/gorsefall/streamprotocol.py
@@ -39,6 +39,6 @@
     try:
         page = msgspec.convert(obj, messages.StreamPage)
     except msgspec.ValidationError as cause:
-        raise errors.LogServiceError(f'malformed response: {cause}') from cause
+        raise errors.LogServiceError(f'unreadable answer: {cause}') from cause
     page.expired = status == GONE_STATUS
     return page
