--- a/gorsefall/policy/attempt_timeouts.py
+++ b/gorsefall/policy/attempt_timeouts.py
@@ -15,8 +15,8 @@
 its response before another replica is tried."""
 
 MIN_ATTEMPT_S = 0.15
-"""Minimum of this timeout, s: over three times the longest call of a service,
-110 ms, which is five times the usual 22 ms."""
+"""Minimum of this timeout, s: over three times the slowest usual call. The
+longest call of any service takes 110 ms, five times the usual 22 ms."""
 
 MIN_STREAM_ATTEMPT_S = 1.2
 """The same for streams, whose first event follows the prefill of the prompt."""
@@ -27,8 +27,8 @@
 
 BACKUP_GAP_S = 0.5
 """Silence within a stream with a KV backup after which its replica is probed,
-s: twice the longest gap that counts as on time, a quarter of the gap at which
-callers give up."""
+s: twice the longest gap that counts as on time, a quarter of the gap that
+callers tolerate."""
 
 
 class StartLatency:
--- a/gorsefall/policy/suspects.py
+++ b/gorsefall/policy/suspects.py
@@ -30,8 +30,8 @@
 
 SERIALIZE_WEIGHT = 4
 """Total crash weight from which on a request runs at one replica at a time: one
-more crash may make it a poison request, so it is neither retried nor sent to a
-second replica while a run of it is in progress."""
+more crash may make it a poison request, so it is neither retried automatically
+nor sent to a second replica while a run of it is in progress."""
 
 REPORT_MIN_CRASHES = 2
 """Crashes under a request from which on entries make sure that every other
