--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -224,7 +224,7 @@
 def test_entries_that_saw_part_of_the_crashes_store_them():
     """A restart of all entries costs three more replicas because no entry has
     stored the poison request."""
-    site = crashing.Site(9, 6, 6, lost=0.0)
+    site = crashing.Site(9, 6, 6, loss=0.0)
     stored = []
     for entry in site.entries:
         entry.crashes.on_poison_request = stored.append
