--- a/gorsefall/relay/sharing.py
+++ b/gorsefall/relay/sharing.py
@@ -169,8 +169,8 @@
         others = readers.with_store_access(self._others())
         # If no entry reaches the store, the entries that would be readers
         # keep trying.
-        contends = self.reaches_store() or not any(c.can_read for c in others)
-        self._set_reader(not others or (contends and self._should_read(others)))
+        may_read = self.reaches_store() or not any(c.can_read for c in others)
+        self._set_reader(not others or (may_read and self._should_read(others)))
         if self.is_reader:
             self._set_paces(others)
         else:
@@ -180,8 +180,8 @@
 
     def _should_read(self, others):
         # Entries whose sets of known entries differ choose different readers.
-        # Any entry that is queried reads, or the senders would receive stale
-        # data.
+        # An entry that others query therefore reads too; otherwise they would
+        # receive stale data.
         return (self._choice.is_reader(others) or
                 bool(self._recent_queriers(READ_AFTER_QUERY_S)))
 
