--- a/gorsefall/net/links.py
+++ b/gorsefall/net/links.py
@@ -91,8 +91,7 @@
         # that ends with its connection was truncated; if it were accepted, a
         # caller would get a 200 with half a body.
         self._finish(
-            None if self._is_delimited else 'connection closed before the '
-            'response was complete')
+            None if self._is_delimited else 'closed before its reply ended')
 
     def on_fail(self, failure):
         """See ``outbound.Call``."""
--- a/gorsefall/net/outbound.py
+++ b/gorsefall/net/outbound.py
@@ -111,10 +111,10 @@
         self._desynchronized = False
         self._skipping_response = False
         self._idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S
-        self._conn = tcp.Connection(loop, self)
+        self._transport = tcp.Connection(loop, self)
         self._timer = loop.call_later(connect_timeout_s,
                                       self._on_connect_timeout)
-        self._conn.connect(addr, window_bytes)
+        self._transport.connect(addr, window_bytes)
 
     @property
     def busy(self):
@@ -124,22 +124,23 @@
     @property
     def bytes_in(self):
         """See the class."""
-        return self._conn.bytes_in
+        return self._transport.bytes_in
 
     @property
     def bytes_out(self):
         """See the class."""
-        return self._conn.bytes_out
+        return self._transport.bytes_out
 
     def is_reusable(self):
         """Returns whether an idle connection is open with no input pending."""
-        return self._conn.is_open and not self._conn.has_pending_input()
+        return (self._transport.is_open and
+                not self._transport.has_pending_input())
 
     def send(self, call):
         """Sends ``call``; no other call may be in progress."""
         self._call = call
-        self._conn.has_written = False
-        self._conn.write(self._start_exchange(call))
+        self._transport.has_written = False
+        self._transport.write(self._start_exchange(call))
 
     def _start_exchange(self, call):
         """Resets the HTTP state; returns the bytes of the call's request."""
@@ -160,17 +161,17 @@
             Whether the peer may have received part of the request.
         """
         self._call = None
-        sent = self._conn.has_written
+        sent = self._transport.has_written
         self._close()
         return sent
 
     def pause(self):
         """Stops reading while the consumer of the response is slow."""
-        self._conn.pause()
+        self._transport.pause()
 
     def resume(self):
         """Resumes reading after ``pause``."""
-        self._conn.resume()
+        self._transport.resume()
 
     def close(self):
         """Closes the connection, which must be idle."""
@@ -202,10 +203,9 @@
             # h11 also raises this error at a premature end of the stream,
             # which is a lost connection rather than malformed HTTP.
             if data:
-                self._fail(f'malformed HTTP response: {exc}')
+                self._fail(f'bad answer: {exc}')
             else:
-                self._fail_connection(
-                    'connection closed before the response was complete')
+                self._fail_connection('closed before its answer was whole')
 
     def _process_event(self):
         event = self._h11.next_event()
@@ -219,7 +219,7 @@
         elif isinstance(event, h11.EndOfMessage):
             self._on_message_end()
         elif isinstance(event, h11.ConnectionClosed):
-            self._fail_connection('connection closed before a response')
+            self._fail_connection('closed without an answer')
             return False
         return True
 
@@ -249,7 +249,7 @@
         # the rest of this one. In both cases the connection is not reused.
         rest, closed = self._h11.trailing_data
         reusable = (not self._desynchronized and not rest and not closed and
-                    not self._conn.unsent_bytes and
+                    not self._transport.unsent_bytes and
                     self._h11.their_state is h11.DONE and
                     self._h11.our_state is h11.DONE)
         call, self._call = self._call, None
@@ -260,21 +260,21 @@
         call.on_end()
 
     def _on_connect_timeout(self):
-        self._fail('connect timeout')
+        self._fail('not connected in time')
 
     def _fail_connection(self, reason):
         self._fail(reason, connection_lost=True)
 
     def _fail(self, reason, *, connection_lost=False):
         call, self._call = self._call, None
-        sent = self._conn.has_written
+        sent = self._transport.has_written
         self._close()
         if call is not None:
             call.on_fail(Failure(sent, reason, connection_lost))
 
     def _close(self):
         self._timer.cancel()
-        self._conn.close()
+        self._transport.close()
         on_release, self._on_release = self._on_release, None
         if on_release is not None:
             on_release(self, 0.0)
--- a/gorsefall/net/reactor.py
+++ b/gorsefall/net/reactor.py
@@ -69,7 +69,7 @@
     def __init__(self):
         super().__init__()
         self._epoll = select.epoll()
-        self._watched = {}
+        self._socket_handlers = {}
         self._timers = []
         self._sequence = itertools.count()
         self._log = logs.get('reactor')
@@ -87,16 +87,16 @@
         """Starts watching ``sock``, or changes the events it is watched for."""
         mask = (_READ if read else 0) | (select.EPOLLOUT if write else 0)
         fd = sock.fileno()
-        if fd in self._watched:
+        if fd in self._socket_handlers:
             self._epoll.modify(fd, mask)
         else:
             self._epoll.register(fd, mask)
-        self._watched[fd] = handler
+        self._socket_handlers[fd] = handler
 
     def unwatch(self, sock):
         """Stops watching ``sock``; must be called before closing the socket."""
         fd = sock.fileno()
-        if self._watched.pop(fd, None) is not None:
+        if self._socket_handlers.pop(fd, None) is not None:
             self._epoll.unregister(fd)
 
     def call_later(self, delay_s, callback):
@@ -142,7 +142,7 @@
             if fd == self._wake_recv:
                 os.read(fd, 512)
                 continue
-            handler = self._watched.get(fd)
+            handler = self._socket_handlers.get(fd)
             if handler is not None:
                 self._dispatch(fd, handler, mask)
 
@@ -150,7 +150,8 @@
         try:
             if mask & (_READ | _FAILED):
                 handler.on_readable()
-            if (mask & select.EPOLLOUT and self._watched.get(fd) is handler):
+            if (mask & select.EPOLLOUT and
+                    self._socket_handlers.get(fd) is handler):
                 handler.on_writable()
         except Exception:
             # An exception in the handler of one connection must not end the
--- a/gorsefall/net/tcp.py
+++ b/gorsefall/net/tcp.py
@@ -19,6 +19,8 @@
 for several retransmissions of lost packets (200 ms each)."""
 
 KEEPALIVE_IDLE_S = 2
+"""Time without data after which keep-alive probes are sent, s."""
+
 KEEPALIVE_PROBES = 2
 """Unanswered probes, KEEPALIVE_IDLE_S apart, after which an idle connection is
 considered dead."""
@@ -166,7 +168,7 @@
 
     def on_handler_error(self):
         """See ``reactor.Handler``."""
-        self._fail('unhandled exception in a connection callback')
+        self._fail('fault in the handler')
 
     def _check_hang_up(self):
         code = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
--- a/tests/test_outbound.py
+++ b/tests/test_outbound.py
@@ -9,7 +9,7 @@
 import peers
 from gorsefall.net import outbound
 
-_BEHAVIOURS = ('whole', 'chunked', 'other first', 'twice', 'cut', 'garbage',
+_BEHAVIOURS = ('complete', 'chunked', 'other first', 'twice', 'cut', 'garbage',
                'extra bytes', 'to the end', 'asks to close')
 
 
@@ -23,11 +23,11 @@
     return head(rid, f'Content-Length: {len(body)}', *fields) + body
 
 
-def script(fault, rid):
-    """Returns the pieces that a peer with ``fault`` sends for ``rid``."""
+def script(behaviour, rid):
+    """Returns the pieces that a peer with ``behaviour`` sends for ``rid``."""
     body = f'answer {rid}'.encode()
     return {
-        'whole': [complete_response(rid)],
+        'complete': [complete_response(rid)],
         'chunked': [
             head(rid, 'Transfer-Encoding: chunked'),
             b'%x\r\n%s\r\n0\r\n\r\n' % (len(body), body)
@@ -41,7 +41,7 @@
         'extra bytes': [complete_response(rid) + b'more'],
         'to the end': [head(rid) + body, None],
         'asks to close': [complete_response(rid, 'Connection: close')],
-    }[fault]
+    }[behaviour]
 
 
 class RecordingCall(outbound.Call):
@@ -70,23 +70,23 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.sampled_from(_BEHAVIOURS), min_size=1, max_size=12))
-def test_each_call_gets_its_own_complete_response_or_fails(faults):
+def test_each_call_gets_its_own_complete_response_or_fails(behaviours):
     """A caller gets the response to another caller's request.
 
     A peer responds twice or late, or sends more bytes than announced, and the
     connection is reused: the surplus bytes are then read as the next response.
-    The test knows which faults leave a complete response.
+    The test knows which behaviours leave a complete response.
     """
-    rids = [f'r{i}' for i in range(len(faults))]
+    rids = [f'r{i}' for i in range(len(behaviours))]
     peer = peers.ScriptedPeer(
-        [script(f, rid) for f, rid in zip(faults, rids, strict=True)])
+        [script(f, rid) for f, rid in zip(behaviours, rids, strict=True)])
     with peers.loop() as loop:
         pool = outbound.Pool(loop, peer.addr, max_size=4, connect_timeout_s=5.0)
-        for fault, rid in zip(faults, rids, strict=True):
+        for behaviour, rid in zip(behaviours, rids, strict=True):
             call = RecordingCall(rid)
             pool.send(call)
             peers.run(loop, lambda c=call: c.ended or c.failure)
-            if fault in ('cut', 'garbage'):
+            if behaviour in ('cut', 'garbage'):
                 assert call.failure.sent
             else:
                 assert call.ended, call.failure
