--- a/gorsefall/net/tcp.py
+++ b/gorsefall/net/tcp.py
@@ -19,6 +19,8 @@
 for several retransmissions of lost packets (200 ms each)."""
 
 KEEPALIVE_IDLE_S = 2
+"""Time without data after which keep-alive probes are sent, s."""
+
 KEEPALIVE_PROBES = 2
 """Unanswered probes, KEEPALIVE_IDLE_S apart, after which an idle connection is
 considered dead."""
