--- a/gorsefall/relay/events.py
+++ b/gorsefall/relay/events.py
@@ -2,8 +2,8 @@
 
 import re
 
-_END = re.compile(rb'\r\n\r\n|\n\n|\r\r')
-_ID = re.compile(rb'(?:^|[\r\n])id:[ ]?([^\r\n]*)')
+_EVENT_END = re.compile(rb'\r\n\r\n|\n\n|\r\r')
+_ID_FIELD = re.compile(rb'(?:^|[\r\n])id:[ ]?([^\r\n]*)')
 
 
 class Splitter:
@@ -28,11 +28,11 @@
         """Adds ``data``; returns the bytes of the events it completes."""
         buf = self.partial + data
         end = self.completed = 0
-        for match in _END.finditer(buf):
+        for match in _EVENT_END.finditer(buf):
             end = match.end()
             self.completed += 1
         complete, self.partial = buf[:end], buf[end:]
-        ids = _ID.findall(complete)
+        ids = _ID_FIELD.findall(complete)
         if ids:
             self.last_id = ids[-1]
         return complete
