--- a/gorsefall/relay/backups.py
+++ b/gorsefall/relay/backups.py
@@ -26,23 +26,23 @@
         """Whether a replica was chosen and its backup was not claimed yet."""
         return self._holder is not None
 
-    def choose_holder(self, candidates, request):
+    def choose_holder(self, candidates, request_id):
         """Chooses the replica that receives the backup.
 
         Args:
             candidates: List of ``fleet.Replica`` without the one that runs
                 the request.
-            request: The request's id.
+            request_id: The request's id.
 
         Returns:
             Its ``(host, port)``, or None when there is none.
         """
-        target = placement.choose_backup([r.view for r in candidates], request,
-                                         time.monotonic())
-        if target is None:
+        chosen = placement.choose_backup([r.view for r in candidates],
+                                         request_id, time.monotonic())
+        if chosen is None:
             self._holder = None
             return None
-        self._holder = self._fleet.replicas[target.name]
+        self._holder = self._fleet.replicas[chosen.name]
         return self._holder.record.addr
 
     def probe(self, replica, done):
@@ -67,8 +67,8 @@
         restart another ``Replica`` object has the same id.
         """
         holder, self._holder = self._holder, None
-        known = self._fleet.replicas.get(holder.record.id)
-        return holder if known is holder else None
+        current = self._fleet.replicas.get(holder.record.id)
+        return holder if current is holder else None
 
     def cancel_probe(self):
         """Ignores the result of a probe that is in progress."""
--- a/gorsefall/relay/crashes.py
+++ b/gorsefall/relay/crashes.py
@@ -20,7 +20,7 @@
 entries receives it at least twice."""
 
 MAX_REPORTS = 32
-"""Most reports in a status message, 2 KB; only the newest are sent."""
+"""Most reports in a status message, together 2 KB; the newest are sent."""
 
 MIN_QUERY_PAUSE_S = 1.0
 """Shortest pause between two queries for the suspects of other entries, s."""
@@ -130,7 +130,7 @@
         return False
 
     def end_run(self, digest, exchange):
-        """Records that an exchange is over."""
+        """Records that an exchange is over; dispatches those that it parked."""
         if self._running_exchanges.get(digest) is exchange:
             del self._running_exchanges[digest]
             for waiting in self._parked_exchanges.pop(digest, ()):
@@ -150,16 +150,17 @@
             run: The ``BrokenRun``.
             on_result: Called when the exchange may decide about the request.
         """
-        waits = self.suspects.weight(run.digest) and self._expected_up(replica)
+        must_wait = self.suspects.weight(
+            run.digest) and self._expected_up(replica)
         if self._expected_up(replica):
-            done = on_result if waits else lambda: None
+            done = on_result if must_wait else lambda: None
             self._prober.probe(
                 replica, functools.partial(self._on_probed, replica, run, done))
-        if not waits:
+        if not must_wait:
             on_result()
 
     def _expected_up(self, replica):
-        """Returns whether the replica's exit would be a crash."""
+        """Returns whether the replica should run: its exit is then a crash."""
         return (replica.record.status is model.ReplicaStatus.READY and
                 not replica.record_lapsed and
                 self._fleet.replicas.get(replica.record.id) is replica)
@@ -257,8 +258,8 @@
             self._query_suspects(host)
 
     def _query_suspects(self, host):
-        # The summaries also differ while reports are on their way. The entry
-        # that lacks some gains by the query, and one a second is cheap.
+        # The summaries also differ while reports are on their way. A query
+        # brings missing reports to this entry, and one a second is cheap.
         now = self._clock()
         if now - self._queried_at >= MIN_QUERY_PAUSE_S:
             self._queried_at = now
--- a/gorsefall/relay/delivery.py
+++ b/gorsefall/relay/delivery.py
@@ -37,7 +37,7 @@
 
     @property
     def resuming(self):
-        """Whether a stream was started, so that only its rest is usable."""
+        """Whether a stream was started, which a retry can only continue."""
         return self._splitter is not None
 
     @property
@@ -85,7 +85,7 @@
                                self._codec.encode_response(self._response))
 
     def end(self):
-        """Ends a complete stream."""
+        """Ends a complete stream; sends any bytes left after its last event."""
         self._start()
         if self._splitter.partial:
             self._writer.write(self._splitter.partial)
--- a/gorsefall/relay/fleet.py
+++ b/gorsefall/relay/fleet.py
@@ -183,8 +183,9 @@
 
         While the store is unreachable no replica can write, and the records of
         live replicas lapse. Dropping these replicas at once would leave none
-        to send to, so that requests were refused just after an outage. They
-        remain candidates of last resort until they had time to write again.
+        to send to, and requests would be refused just after an outage. The
+        replicas remain candidates of last resort until they have had time to
+        write again.
         """
         rep = self.replicas.get(replica_id)
         self._records.pop(replica_id, None)
@@ -200,9 +201,9 @@
     def record_exit(self, replica, at):
         """Records that a ``Replica`` was found to have crashed.
 
-        Its record remains for some heartbeats. Without the report of the exit
-        each of many entries would detect it by a request of its own, which
-        would be refused if another replica already uses the address.
+        Its record remains for some heartbeats. Without a report of the
+        exit, each of many entries would detect it by a request of its own,
+        which is refused if another replica already uses the address.
         """
         if replica.exited_at is None:
             replica.exited_at = at
@@ -225,18 +226,18 @@
 
     def handle_status(self, status, now):
         """Handles the ``membership.Status`` of another entry."""
-        for end in status.replica_exits:
-            rep = self.replicas.get(end.replica)
+        for exit_report in status.replica_exits:
+            rep = self.replicas.get(exit_report.replica)
             if (rep is not None and
-                    rep.record.started_at_ms == end.started_at_ms):
-                self.record_exit(rep, now - end.age_ms / 1000)
+                    rep.record.started_at_ms == exit_report.started_at_ms):
+                self.record_exit(rep, now - exit_report.age_ms / 1000)
 
     def drop_replaced(self, replica_id):
-        """Drops a replica if another one responds at its address.
+        """Drops a replica at whose address another one responds.
 
-        Its record remains for some heartbeats after its exit. Requests sent to
-        that address in this time would all be refused, for three seconds after
-        a replica was restarted in place.
+        Its record remains for some heartbeats after its exit. If the replica
+        were kept, all requests sent to its address in this time would be
+        refused: for three seconds after a replica was restarted in place.
         """
         self._replaced_ids.add(replica_id)
         if replica_id in self.replicas:
--- a/gorsefall/relay/grant.py
+++ b/gorsefall/relay/grant.py
@@ -75,12 +75,12 @@
         return self.route.kind is model.RouteKind.STREAM
 
     @property
-    def rank(self):
+    def admission_rank(self):
         """Rank for admission at this entry, 0 is the most urgent."""
         return self._node.table.admission_rank(self.account, self.route)
 
     @property
-    def urgency(self):
+    def replica_rank(self):
         """Rank in the queue of its replica, 0 is the most urgent."""
         return self._node.table.replica_rank(self.account, self.route)
 
@@ -96,7 +96,8 @@
                                         tokens=prompt.tokens_in,
                                         tokens_out=prompt.tokens_out,
                                         queue_limit_ms=ranks.queue_limit_ms(
-                                            self.rank, self._target_ms),
+                                            self.admission_rank,
+                                            self._target_ms),
                                         gap_ms=self.route.gap_target_s * 1000)
 
     @property
@@ -113,7 +114,7 @@
     def record_arrival(self):
         """Counts the request for its service and rank."""
         self._node.work.ranks(self.service).record_request(
-            self.rank, self._target_ms)
+            self.admission_rank, self._target_ms)
 
     def attempt_options(self, record, *, time_left_s, backup, from_backup,
                         resume_after, source):
@@ -134,7 +135,7 @@
             replica=record.id,
             time_left_s=time_left_s,
             account=self.account.name if self.account else None,
-            priority=self.urgency,
+            priority=self.replica_rank,
             backup_to=backup,
             restore_from=record.addr if from_backup else None,
             resume_after=resume_after,
@@ -158,11 +159,11 @@
         """
         work = self._node.work
         self.profile = self._build_profile()
-        urgent = work.ranks(self.service).is_most_urgent(self.rank)
-        targets = work.candidate_views(self.service, tried, urgent=urgent)
+        urgent = work.ranks(self.service).is_most_urgent(self.admission_rank)
+        candidates = work.candidate_views(self.service, tried, urgent=urgent)
         if least_loaded:
-            targets = placement.with_fewest_requests(targets)
-        choice = placement.choose(targets,
+            candidates = placement.with_fewest_requests(candidates)
+        choice = placement.choose(candidates,
                                   self.profile,
                                   work.service_state(self.service),
                                   time.monotonic(),
--- a/gorsefall/relay/node.py
+++ b/gorsefall/relay/node.py
@@ -56,7 +56,7 @@
         cfg: The ``settings.Relay``.
         codec: The ``codec.Codec`` of the wire.
         loop: The ``reactor.Reactor``.
-        table: The ``routes.Table`` in force; None before the first.
+        table: The active ``routes.Table``; None before the first.
         confirmation: The ``freshness.Confirmation`` of the table.
         fleet: The ``fleet.Fleet``.
         prober: The ``prober.ReplicaProber`` of its replicas.
@@ -154,7 +154,7 @@
     # -- observed state --------------------------------------------------------
 
     def adopt(self, table):
-        """Puts a configuration in force unless a newer one is."""
+        """Makes a configuration active unless a newer one already is."""
         old = self.table.version if self.table else None
         if old is not None and table.version <= old:
             return
@@ -299,8 +299,8 @@
         try:
             self.cfg = settings.load(self._path)
         except errors.SettingsError as exc:
-            # The file may be half written. The current settings stay in
-            # force, and the file is read again after its next change.
+            # The file may be half written. The current settings stay active,
+            # and the file is read again after its next change.
             self.log.error('reload_failed', error=str(exc))
             return
         self.confirmation.bound_s = (self.cfg.revoke_s -
@@ -336,9 +336,9 @@
         self.loop.call_later(LAME_DUCK_S, self._close_listener)
 
     def _close_listener(self):
-        # A request accepted late might not end within the grace time and be
-        # aborted. A caller whose connection is refused tries another entry at
-        # once.
+        # A request accepted late might not end within the grace time and would
+        # be aborted. A caller whose connection is refused tries another entry
+        # at once.
         self._listener.close()
         self.log.info('no_new_channels', running=self.in_flight)
         self._check_drained()
--- a/gorsefall/relay/replicalimits.py
+++ b/gorsefall/relay/replicalimits.py
@@ -15,6 +15,7 @@
 
 
 class _Sender(typing.NamedTuple):
+    """An entry, as ``announced_limits.senders`` takes it."""
     name: str
 
 
