--- a/gorsefall/relay/peers.py
+++ b/gorsefall/relay/peers.py
@@ -32,7 +32,8 @@
 """Range of the factor of a pause, so that entries do not send in step."""
 
 SILENT_HEARTBEATS = 2.4
-"""Longest pauses without a message after which an entry is left out."""
+"""Time without a message after which an entry is left out, in heartbeats (the
+longest pauses between messages)."""
 
 MAX_HOSTS_PER_MESSAGE = 6
 """Most hosts of other entries in a message: enough for all entries to discover
--- a/gorsefall/relay/routes.py
+++ b/gorsefall/relay/routes.py
@@ -1,4 +1,4 @@
-"""The routing configuration in force: routes, services, accounts, keys."""
+"""The active routing configuration: routes, services, accounts, keys."""
 
 import random
 
--- a/gorsefall/relay/sharing.py
+++ b/gorsefall/relay/sharing.py
@@ -34,7 +34,7 @@
 """Range of the factor of the pause between queries."""
 
 FALLBACK_SPREAD_S = 0.3
-"""Time over which entries spread their own reads when a query stayed without
+"""Time over which entries spread their own reads when a query received no
 response, s."""
 
 OUTAGE_SPREAD_S = 2.0
@@ -54,11 +54,11 @@
 """Time after a query in which its sender receives hints, s."""
 
 READ_AFTER_QUERY_S = 2.0
-"""Time for which an entry reads the store after it was queried, s: two
-queries."""
+"""Time for which an entry reads the store after it was queried, s: two of the
+longest pauses between queries."""
 
 MAX_FAILED_READS = 3
-"""Consecutive failed reads from which an entry is no reader."""
+"""Consecutive failed reads after which an entry does not read for others."""
 
 PROBE_PERIOD_S = 10.0
 """Pause between reads that check whether the store is reachable again while
@@ -84,7 +84,7 @@
 
 
 class _Query(typing.NamedTuple):
-    """A query without response so far.
+    """A query that has not received a response yet.
 
     Attributes:
         query_id: Identifies it.
@@ -119,7 +119,7 @@
         self._others = others
         self._send = send
         self._rng = rng
-        self._choice = readers.ReaderSelector(own, rng)
+        self._selector = readers.ReaderSelector(own, rng)
         self._topics = {}
         self._store = ''
         self._query_pause_s = 0.0
@@ -176,13 +176,13 @@
         else:
             self._probe_store()
             self._response_missing = False
-            self._query(self._choice.query_order(others, self._loop.now))
+            self._query(self._selector.query_order(others, self._loop.now))
 
     def _should_read(self, others):
         # Entries whose sets of known entries differ choose different readers.
         # An entry that others query therefore reads too; otherwise they would
         # receive stale data.
-        return (self._choice.is_reader(others) or
+        return (self._selector.is_reader(others) or
                 bool(self._recent_queriers(READ_AFTER_QUERY_S)))
 
     def _recent_queriers(self, for_s):
@@ -202,7 +202,7 @@
 
     def _set_paces(self, others):
         self.source_host = None
-        depended_on = self._choice.has_dependents(others)
+        depended_on = self._selector.has_dependents(others)
         for followed in self._topics.values():
             followed.follower.pace = (followed.shared
                                       if depended_on else followed.alone)
@@ -243,7 +243,7 @@
         metrics.PEER_READS.labels('unanswered').inc()
         self._response_missing = True
         host, *rest = self._open_query.hosts
-        self._choice.record_no_response(host, self._loop.now)
+        self._selector.record_no_response(host, self._loop.now)
         self._query(rest)
 
     def _fall_back(self):
@@ -325,7 +325,7 @@
             self._query(query.hosts[1:])
             return
         self.source_host = host
-        self._choice.record_response(host)
+        self._selector.record_response(host)
         if self._no_current_response:
             self._no_current_response = False
             self._log.info('told_again', by=host)
@@ -360,7 +360,7 @@
 
     def _query_after_hint(self, host):
         self._hint_pending = False
-        hosts = self._choice.query_order(
+        hosts = self._selector.query_order(
             readers.with_store_access(self._others()), self._loop.now)
         self._query([host, *(h for h in hosts if h != host)])
 
--- a/gorsefall/relay/topic.py
+++ b/gorsefall/relay/topic.py
@@ -263,8 +263,8 @@
 
     # -- reads -----------------------------------------------------------------
 
-    def _expect(self, handler):
-        """Returns the callback of a read; of the newest one only."""
+    def _new_callback(self, handler):
+        """Returns the callback of a new read; earlier reads are ignored."""
         self._read_number += 1
         return functools.partial(self._on_result, self._read_number, handler)
 
@@ -281,7 +281,7 @@
             self._snapshot_end = None
             self._sent_at = freshness.clock()
         self._source.read_snapshot(after, SILENCE_TIMEOUT_S,
-                                   self._expect(self._on_snapshot_page))
+                                   self._new_callback(self._on_snapshot_page))
 
     def _on_snapshot_page(self, page, exc):
         if exc is not None:
@@ -322,14 +322,14 @@
             return
         # The first read after a failure does not wait, so that it shows at
         # once that the store is back and renews the confirmation. Nor does
-        # the read after a slow response, which confirms only the state of
-        # when it was requested.
+        # the read after a slow response, as that response confirms only the
+        # state at the time of its request.
         waits = (self._continuous and not self._failures and
                  not self._last_read_slow)
         self._sent_at = freshness.clock()
         self._source.read(self.offset, self.pace.wait_s if waits else 0.0,
                           self._max_kb, SILENCE_TIMEOUT_S,
-                          self._expect(self._on_batch))
+                          self._new_callback(self._on_batch))
 
     def _on_batch(self, batch, exc):
         if exc is not None:
--- a/gorsefall/relay/topiclisteners.py
+++ b/gorsefall/relay/topiclisteners.py
@@ -1,4 +1,4 @@
-"""Apply the store's topics to a node: its configuration and its replicas."""
+"""Applies the store's topics to a node: its configuration and its replicas."""
 
 import typing
 
@@ -25,7 +25,7 @@
         try:
             table = self._records.decode_table(record)
         except errors.RecordError as exc:
-            # The configuration in force stays; a malformed one is never
+            # The active configuration stays; a malformed one is never
             # applied in part.
             self._malformed.record_fault(record, exc)
             return True
