--- a/gorsefall/relay/inbound.py
+++ b/gorsefall/relay/inbound.py
@@ -1,4 +1,7 @@
-"""HTTP/1.1 server side: reads callers' requests and writes responses."""
+"""HTTP/1.1 server side: reads requests of callers and writes responses.
+
+Reports to the exchange of a request when its caller disconnects.
+"""
 
 import h11
 
@@ -80,7 +83,7 @@
 
     The server object it belongs to provides ``limits``, ``draining``,
     ``on_conn_closed(conn)``, ``error_response(exc)`` and
-    ``handle_request(method, target, fields, body, reply)``. The last one gets
+    ``handle_request(method, target, fields, body, writer)``. The last one gets
     a ``digests.Body`` and returns an exchange with
     ``on_caller_disconnected()`` and ``on_caller_drained()``, or None when it
     has already responded.
@@ -308,6 +311,6 @@
 
     def _on_timeout(self):
         # A caller that stops in the middle of a request must not occupy a
-        # file descriptor forever.
+        # file descriptor forever. Nothing of the request was forwarded yet.
         if not self._responding:
             self.close()
--- a/gorsefall/relay/servers.py
+++ b/gorsefall/relay/servers.py
@@ -15,7 +15,7 @@
 
     @property
     def limits(self):
-        """The ``model.CallerLimits`` in force."""
+        """The active ``model.CallerLimits``."""
         table = self.node.table
         return table.limits if table else model.CallerLimits()
 
@@ -41,7 +41,7 @@
     """Serves the requests of callers."""
 
     def handle_request(self, method, target, fields, body, writer):
-        """Starts the exchange of a complete request; returns it."""
+        """Starts the exchange of a complete request; returns it or None."""
         return self.node.start_exchange(method, target, fields, body, writer)
 
     def has_unsent(self):
--- a/gorsefall/relay/settings.py
+++ b/gorsefall/relay/settings.py
@@ -27,7 +27,7 @@
         strict_revocation: Whether ``revoke_s`` also holds while the store is
             unreachable: requests with a key are refused then. Otherwise the
             last known keys stay valid.
-        apply_s: Time within which a new configuration is in force, s.
+        apply_s: Time within which a new configuration becomes active, s.
         settle_s: Time after a fault of the entry's own connections until
             ``apply_s`` holds again, s.
         leave_s: Time within which a draining replica stops getting new
