--- a/gorsefall/entry/api.py
+++ b/gorsefall/entry/api.py
@@ -12,8 +12,8 @@
 from gorsefall.entry import jobs
 
 DEFAULT_MAX_TOKENS = 256
-MAX_KEY_CHARS = 200
-TRUE = ('1', 'true', 'yes')
+MAX_IDEMPOTENCY_KEY_CHARS = 200
+TRUE_VALUES = ('1', 'true', 'yes')
 
 
 class ChatBody(msgspec.Struct, kw_only=True):
@@ -67,15 +67,15 @@
         super().__init__(*args, **kwargs)
         self.entry = entry
 
-    def _ask(self, kind, user='', **fields):
+    def _build_request(self, kind, user='', **fields):
         req = self.request
         customer, name = _who(req, user)
-        klass = self.entry.lookup(customer, name)
+        klass = self.entry.lookup_class(customer, name)
         key = req.headers.get('Idempotency-Key', '')
-        if len(key) > MAX_KEY_CHARS:
+        if len(key) > MAX_IDEMPOTENCY_KEY_CHARS:
             raise errors.BadRequestError(
-                f'Idempotency-Key: over {MAX_KEY_CHARS} characters')
-        not_rep = req.headers.get('X-Not-Repeatable', '').lower() in TRUE
+                f'Idempotency-Key: over {MAX_IDEMPOTENCY_KEY_CHARS} characters')
+        not_rep = req.headers.get('X-Not-Repeatable', '').lower() in TRUE_VALUES
         return kind(
             rid=jobs.new_rid(),
             customer=customer,
@@ -91,15 +91,16 @@
         if body.max_tokens is not None and body.max_tokens < 1:
             raise errors.BadRequestError('max_tokens: must be at least 1')
         return self._submit(
-            self._ask(kind,
-                      body.user,
-                      model=body.model,
-                      prompt=prompt,
-                      max_tokens=body.max_tokens or DEFAULT_MAX_TOKENS,
-                      stream=body.stream))
-
-    def _submit(self, ask):
-        self.entry.submit(ask, self.request, self.response)
+            self._build_request(kind,
+                                body.user,
+                                model=body.model,
+                                prompt=prompt,
+                                max_tokens=body.max_tokens or
+                                DEFAULT_MAX_TOKENS,
+                                stream=body.stream))
+
+    def _submit(self, caller_request):
+        self.entry.submit(caller_request, self.request, self.response)
         return True
 
 
@@ -109,12 +110,12 @@
 
     def completions(self, *args, **kwargs):
         """POST /v1/completions (OpenAI)."""
-        body = replies.read_json(self.request, self.entry.max_body,
+        body = replies.read_json(self.request, self.entry.max_body_bytes,
                                  CompletionBody)
         prompt = body.prompt
         if not isinstance(prompt, str):
             prompt = '\n'.join(prompt)
-        return self._text(jobs.CompletionAsk, body, prompt)
+        return self._text(jobs.CompletionRequest, body, prompt)
 
     def models(self):
         """GET /v1/models: the pools' models, OpenAI-shaped."""
@@ -130,12 +131,15 @@
 
     def services(self, pool=None, op=None, *args, **kwargs):
         """POST /v1/services/POOL/OP: a plain-service call, JSON args."""
-        args_obj = replies.read_json(self.request, self.entry.max_body)
-        ask = self._ask(jobs.ServiceAsk, op=op or '', args=args_obj)
-        if ask.klass.pool != pool:
-            raise errors.UnknownClassError(f'class {ask.klass.name} is not for '
-                                           f'pool {pool}')
-        return self._submit(ask)
+        args_obj = replies.read_json(self.request, self.entry.max_body_bytes)
+        caller_request = self._build_request(jobs.ServiceRequest,
+                                             op=op or '',
+                                             args=args_obj)
+        if caller_request.klass.pool != pool:
+            raise errors.UnknownClassError(
+                f'class {caller_request.klass.name} is not for '
+                f'pool {pool}')
+        return self._submit(caller_request)
 
 
 class Chat(_Routes):
@@ -144,9 +148,10 @@
 
     def completions(self, *args, **kwargs):
         """POST /v1/chat/completions (OpenAI)."""
-        body = replies.read_json(self.request, self.entry.max_body, ChatBody)
+        body = replies.read_json(self.request, self.entry.max_body_bytes,
+                                 ChatBody)
         prompt = '\n'.join(str(m.get('content', '')) for m in body.messages)
-        return self._text(jobs.ChatAsk, body, prompt)
+        return self._text(jobs.ChatRequest, body, prompt)
 
 
 class Peer(_Routes):
@@ -168,7 +173,7 @@
 
     def readyz(self):
         """Ready for new work: 503 while draining or without a catalogue."""
-        ok = self.entry.ready()
+        ok = self.entry.is_ready()
         return replies.json_body(self.response, {'ready': ok},
                                  200 if ok else 503)
 
--- a/gorsefall/entry/app.py
+++ b/gorsefall/entry/app.py
@@ -29,11 +29,11 @@
 from gorsefall.policy import limits
 from gorsefall.policy import routing
 
-SWEEP_S = 0.1
+SWEEP_PERIOD_S = 0.1
 """How often deadlines and the starved are looked at, s: callers' deadlines are
 in hundreds of ms, and a pass over the queues takes under a ms."""
 
-LAST_WRITES_S = 0.2
+FINAL_WRITES_S = 0.2
 """Time for the last replies to be written out before the process ends, s."""
 
 
@@ -52,7 +52,7 @@
         super().__init__(logs.get('entry').bind(entry=cfg.entry.name))
         self.cfg = cfg
         self.entry_name = cfg.entry.name
-        self.max_body = cfg.entry.max_body_bytes
+        self.max_body_bytes = cfg.entry.max_body_bytes
         self.fleet = fleet.Fleet(cfg)
         policy = registry.policy(cfg.entry.policy)
         self._new_admission = policy.admission
@@ -83,7 +83,7 @@
 
     # -- catalogue -------------------------------------------------------------
 
-    def lookup(self, customer, name):
+    def lookup_class(self, customer, name):
         """Returns the catalogue class, or raises a coded error.
 
         Raises:
@@ -113,11 +113,11 @@
 
     # -- requests --------------------------------------------------------------
 
-    def ready(self):
+    def is_ready(self):
         """True when the balancer may send new work here."""
         return not self.draining and self.catalogue.in_force is not None
 
-    def admission(self, pool):
+    def refresh_admission(self, pool):
         """Returns the pool's admission, up to date with the fleet."""
         adm = self._admissions.get(pool)
         if adm is None:
@@ -125,59 +125,59 @@
                                       self._limiter)
             self._admissions[pool] = adm
         adm.capacity = self.fleet.capacity(pool)
-        adm.others = self.fleet.others(pool, time.time(),
-                                       self.cfg.entry.load_max_age_s)
+        adm.others = self.fleet.others_in_flight(pool, time.time(),
+                                                 self.cfg.entry.load_max_age_s)
         return adm
 
-    def submit(self, ask, req, res):
-        """Admits ``ask``; the reply is sent by its job or at once on refusal.
+    def submit(self, request, http_req, http_res):
+        """Admits ``request``; its job sends the reply.
 
         Raises:
             errors.NotRunError: Draining, over limits or shed (nothing ran).
         """
-        labels = (ask.customer, ask.klass.name, str(ask.klass.tier))
+        labels = (request.customer, request.klass.name, str(request.klass.tier))
         try:
-            self._admit(ask, req, res)
+            self._admit(request, http_req, http_res)
         except errors.NotRunError as exc:
             metrics.SHED.labels(*labels, exc.code).inc()
             raise
 
-    def _admit(self, ask, req, res):
+    def _admit(self, request, http_req, http_res):
         now = time.monotonic()
         if not self.shutdown.accepts_requests(now):
             raise errors.DrainingError(
                 'entry is shutting down; retry elsewhere')
-        if ask.klass.pool not in self.fleet.pools:
-            raise errors.NoReplicaError(f'no pool {ask.klass.pool!r} here')
-        ticket = admission.Ticket(rid=ask.rid,
-                                  tier=ask.klass.tier,
+        if request.klass.pool not in self.fleet.pools:
+            raise errors.NoReplicaError(f'no pool {request.klass.pool!r} here')
+        ticket = admission.Ticket(rid=request.rid,
+                                  tier=request.klass.tier,
                                   arrived=now,
-                                  deadline=ask.deadline,
-                                  target_s=ask.klass.ttft_ms / 1000.0,
-                                  group=ask.klass.key,
-                                  scopes=self._scopes(ask.klass))
-        adm = self.admission(ask.klass.pool)
+                                  deadline=request.deadline,
+                                  target_s=request.klass.ttft_ms / 1000.0,
+                                  group=request.klass.key,
+                                  scopes=self._scopes(request.klass))
+        adm = self.refresh_admission(request.klass.pool)
         verdict, shed = adm.arrive(ticket, now)
-        later = replies.DeferredReply(self, res, closing=self.draining)
-        job = dispatch.job(ask, self, ticket, later)
-        self.jobs[ask.rid] = job
-        self._by_sock[req.sock] = ask.rid
+        later = replies.DeferredReply(self, http_res, closing=self.draining)
+        job = dispatch.create_job(request, self, ticket, later)
+        self.jobs[request.rid] = job
+        self._by_sock[http_req.sock] = request.rid
         for victim in shed:
             self._refuse(
                 victim,
                 errors.ShedError('pushed out by a higher tier',
                                  retry_after=retry_delay.after_queue_s(
                                      adm.served_time_s)))
-        metrics.QUEUED.labels(ask.klass.pool).set(len(adm.waiting()))
+        metrics.QUEUED.labels(request.klass.pool).set(len(adm.waiting()))
         if verdict is admission.Verdict.RUN:
             job.start()
 
-    def route(self, ask, priority, tried):
-        """Returns the replica for ``ask``'s next attempt, or None."""
+    def choose_replica(self, request, priority, tried):
+        """Returns the replica for ``request``'s next attempt, or None."""
         return self._router.choose(
-            self.fleet.candidates(ask.klass.pool, tried),
-            routing.RequestProfile(ask.prefix_text, priority), time.monotonic(),
-            time.time())
+            self.fleet.candidates(request.klass.pool, tried),
+            routing.RequestProfile(request.prefix_text, priority),
+            time.monotonic(), time.time())
 
     def _refuse(self, ticket, exc):
         job = self.jobs.get(ticket.rid)
@@ -185,12 +185,12 @@
             metrics.SHED.labels(*job.labels, exc.code).inc()
             job.fail(exc)
 
-    def job_done(self, job, served_s=None):
+    def finish_job(self, job, served_s=None):
         """Called by a job at its end: frees its place, starts the next."""
-        self.jobs.pop(job.ask.rid, None)
-        pool = job.ask.klass.pool
-        adm = self.admission(pool)
-        self._start(adm.finish(job.ask.rid, time.monotonic(), served_s))
+        self.jobs.pop(job.request.rid, None)
+        pool = job.request.klass.pool
+        adm = self.refresh_admission(pool)
+        self._start(adm.finish(job.request.rid, time.monotonic(), served_s))
         metrics.QUEUED.labels(pool).set(len(adm.waiting()))
 
     def _start(self, tickets):
@@ -201,25 +201,27 @@
 
     def _on_report(self, pool):
         if pool in self._admissions:
-            self._start(self.admission(pool).drain(time.monotonic()))
+            self._start(self.refresh_admission(pool).drain(time.monotonic()))
 
     @core.handler('started', channel='*')
     def _on_started(self, component):
         del component
-        reactor.find_reactor(self).call_every(SWEEP_S, self._sweep)
+        reactor.find_reactor(self).call_every(SWEEP_PERIOD_S, self._sweep)
 
     def _sweep(self):
         """Looks for passed deadlines, the starved and the drain's end."""
         now = time.monotonic()
         for pool in list(self._admissions):
-            adm = self.admission(pool)
+            adm = self.refresh_admission(pool)
             for ticket in adm.expire(now):
                 self._refuse(
                     ticket,
                     errors.DeadlineError('its deadline passed while it waited',
                                          retry_after=retry_delay.after_queue_s(
                                              adm.served_time_s)))
-            served = {rid: self.jobs[rid].served_at for rid in adm.running}
+            served = {
+                rid: self.jobs[rid].last_progress_at for rid in adm.running
+            }
             start, raised = adm.promote(now, served)
             for ticket in start + raised:
                 metrics.PROMOTED.labels(*self.jobs[ticket.rid].labels).inc()
@@ -255,7 +257,7 @@
                 'version': state.version,
                 'offset': state.offset,
                 'classes': len(state.doc.classes),
-                'read_age_s': round(wall - self.catalogue.last_ok, 2)
+                'read_age_s': round(wall - self.catalogue.last_success_at, 2)
             },
             'replicas': [{
                 'name': r.name,
@@ -280,8 +282,8 @@
             'ledger': {
                 'keys': len(self.ledger.state.claims),
                 'offset': self.ledger.state.offset,
-                'appends': self.ledger.appends,
-                'records': self.ledger.records
+                'appends': self.ledger.append_calls,
+                'records': self.ledger.appended_records
             },
         }
 
@@ -308,7 +310,7 @@
         self._ending = True
         self.log.info('stopped', left=len(self.jobs))
         # Give the last replies a moment to be written out.
-        reactor.find_reactor(self).call_later(LAST_WRITES_S, self.root.stop)
+        reactor.find_reactor(self).call_later(FINAL_WRITES_S, self.root.stop)
 
 
 def build(cfg):
--- a/gorsefall/entry/dispatch.py
+++ b/gorsefall/entry/dispatch.py
@@ -1,4 +1,4 @@
-"""Which kind of job runs which kind of ask."""
+"""Which kind of job runs which kind of request."""
 
 import functools
 
@@ -8,20 +8,20 @@
 
 
 @functools.singledispatch
-def job(ask, app, ticket, reply):
-    """Returns the ``jobs.Job`` that runs ``ask``.
+def create_job(request, app, ticket, reply):
+    """Returns the ``jobs.Job`` that runs ``request``.
 
     Raises:
         TypeError: No kind of job is registered for it.
     """
-    raise TypeError(f'no job for {type(ask).__name__}')
+    raise TypeError(f'no job for {type(request).__name__}')
 
 
-@job.register
-def _(ask: jobs.TextAsk, app, ticket, reply):
-    return textjobs.TextJob(app, ask, ticket, reply)
+@create_job.register
+def _(request: jobs.TextRequest, app, ticket, reply):
+    return textjobs.TextJob(app, request, ticket, reply)
 
 
-@job.register
-def _(ask: jobs.ServiceAsk, app, ticket, reply):
-    return servicejobs.ServiceJob(app, ask, ticket, reply)
+@create_job.register
+def _(request: jobs.ServiceRequest, app, ticket, reply):
+    return servicejobs.ServiceJob(app, request, ticket, reply)
--- a/gorsefall/entry/fleet.py
+++ b/gorsefall/entry/fleet.py
@@ -39,14 +39,14 @@
             self._add(b.name, settingsfile.split_addr(b.addr), b.pool, b.zone)
 
     def _add(self, name, addr, pool, zone):
-        rep = routing.Replica(name=name,
-                              addr=addr,
-                              pool=pool,
-                              zone=zone,
-                              slots=self._pool_slots.get(pool, self._slots))
-        self.replicas[name] = rep
-        self.pools.setdefault(pool, {})[name] = rep
-        return rep
+        replica = routing.Replica(name=name,
+                                  addr=addr,
+                                  pool=pool,
+                                  zone=zone,
+                                  slots=self._pool_slots.get(pool, self._slots))
+        self.replicas[name] = replica
+        self.pools.setdefault(pool, {})[name] = replica
+        return replica
 
     def update(self, vms):
         """Applies one reading of the VM list, a list of ``VmEntry``."""
@@ -56,21 +56,21 @@
             if vm.role == 'backend':
                 self._update_replica(vm)
         for name in self._listed - shown.keys():
-            rep = self.replicas.get(name)
-            if rep is not None:
-                self._set_state(rep, routing.ReplicaState.DOWN)
+            replica = self.replicas.get(name)
+            if replica is not None:
+                self._set_state(replica, routing.ReplicaState.DOWN)
         self._listed |= shown.keys()
 
     def _update_replica(self, vm):
         state = _STATES.get(vm.state, routing.ReplicaState.DOWN)
-        rep = self.replicas.get(vm.name)
+        replica = self.replicas.get(vm.name)
         addr = self._addr(vm) if vm.addr and vm.pool else None
-        if addr and (rep is None or rep.addr != addr):
+        if addr and (replica is None or replica.addr != addr):
             # A new address is a new machine: nothing known of the old one
             # (failures, requests in flight) holds for it.
-            rep = self._add(vm.name, addr, vm.pool, vm.zone)
-        if rep is not None:
-            self._set_state(rep, state)
+            replica = self._add(vm.name, addr, vm.pool, vm.zone)
+        if replica is not None:
+            self._set_state(replica, state)
 
     def _addr(self, vm):
         """Returns the VM's ``(host, port)``, or None when it is malformed."""
@@ -80,13 +80,13 @@
             self._log.error('vm_bad_addr', vm=vm.name, error=str(exc))
             return None
 
-    def _set_state(self, rep, state):
-        if rep.state is not state:
+    def _set_state(self, replica, state):
+        if replica.state is not state:
             self._log.info('replica_state',
-                           replica=rep.name,
+                           replica=replica.name,
                            state=state.value,
-                           was=rep.state.value)
-            rep.state = state
+                           was=replica.state.value)
+            replica.state = state
 
     def _update_entries(self, vms):
         live = {vm.name: vm for vm in vms if vm.role == 'entry'}
@@ -111,7 +111,7 @@
         """Returns the places of the pool's live replicas."""
         return sum(r.slots for r in self.candidates(pool, ()))
 
-    def others(self, pool, wall, max_age_s):
+    def others_in_flight(self, pool, wall, max_age_s):
         """Returns other entries' requests in the pool by urgency, or None.
 
         Args:
@@ -125,11 +125,11 @@
             then only the fair share of places is safe.
         """
         total = [0] * (messages.PRIORITIES.stop)
-        for rep in self.candidates(pool, ()):
-            if wall - rep.reported_at > max_age_s:
+        for replica in self.candidates(pool, ()):
+            if wall - replica.reported_at > max_age_s:
                 return None
             for prio in messages.PRIORITIES:
-                total[prio] += rep.others[prio]
+                total[prio] += replica.others[prio]
         for prio in messages.PRIORITIES:
             total[prio] += total[prio - 1]
         return total
--- a/gorsefall/entry/jobs.py
+++ b/gorsefall/entry/jobs.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Ask:
+class CallerRequest:
     """What a caller asked, decoded; subclasses add what is asked for.
 
     Attributes:
@@ -58,7 +58,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class TextAsk(Ask):
+class TextRequest(CallerRequest):
     """A request for generated text.
 
     Attributes:
@@ -74,25 +74,25 @@
 
     @property
     def prefix_text(self):
-        """See ``Ask.prefix_text``."""
+        """See ``CallerRequest.prefix_text``."""
         return self.prompt
 
     @property
     def digest(self):
-        """See ``Ask.digest``."""
+        """See ``CallerRequest.digest``."""
         return claims.call_digest(self.model, [self.prompt, self.max_tokens])
 
 
-class ChatAsk(TextAsk):
+class ChatRequest(TextRequest):
     """A chat completion."""
 
 
-class CompletionAsk(TextAsk):
+class CompletionRequest(TextRequest):
     """A plain completion."""
 
 
 @dataclasses.dataclass(kw_only=True)
-class ServiceAsk(Ask):
+class ServiceRequest(CallerRequest):
     """A plain-service call.
 
     Attributes:
@@ -104,7 +104,7 @@
 
     @property
     def digest(self):
-        """See ``Ask.digest``."""
+        """See ``CallerRequest.digest``."""
         return claims.call_digest(self.op, self.args)
 
 
@@ -119,35 +119,35 @@
 
 
 class Job(serving.ActiveRequest):
-    """Runs one ``Ask`` through a pool's replicas; owns its reply.
+    """Runs one ``CallerRequest`` through a pool's replicas; owns its reply.
 
     Attributes:
         ticket: Its ``admission.Ticket``.
         tokens: Tokens delivered to the caller.
-        wasted: Tokens generated and then thrown away or repeated.
-        served_at: Last sign of service from the replica, s (monotonic).
+        wasted_tokens: Tokens generated and then thrown away or repeated.
+        last_progress_at: Last sign of service from the replica, s (monotonic).
     """
 
-    def __init__(self, app, ask, ticket, reply):
-        k = ask.klass
+    def __init__(self, app, request, ticket, reply):
+        k = request.klass
         super().__init__(
-            logs.get('job').bind(rid=ask.rid,
-                                 customer=ask.customer,
+            logs.get('job').bind(rid=request.rid,
+                                 customer=request.customer,
                                  klass=k.name))
         self.app = app
-        self.ask = ask
+        self.request = request
         self.ticket = ticket
         self.reply = reply
         self.started_at = None
-        self.served_at = self.arrived_at
+        self.last_progress_at = self.arrived_at
         self.tokens = 0
-        self.wasted = 0
-        self.rep = None
+        self.wasted_tokens = 0
+        self.replica = None
         self.call = None
         self.fence = 0
         self._claimed = False
         self._place = contextlib.ExitStack()
-        self.labels = (ask.customer, k.name, str(k.tier))
+        self.labels = (request.customer, k.name, str(k.tier))
 
     # -- lifecycle -----------------------------------------------------------
 
@@ -157,12 +157,12 @@
         Without a key no other entry and no retry can run the same request,
         so only requests with a key are claimed.
         """
-        self.started_at = self.served_at = time.monotonic()
-        if self.ask.repeatable or not self.ask.key:
+        self.started_at = self.last_progress_at = time.monotonic()
+        if self.request.repeatable or not self.request.key:
             self.dispatch()
             return
-        self.app.ledger.claim(self.ask.key, self.ask.rid, self.ask.digest,
-                              self._on_claim)
+        self.app.ledger.claim(self.request.key, self.request.rid,
+                              self.request.digest, self._on_claim)
 
     def _on_claim(self, fence, exc):
         if isinstance(exc, errors.DuplicateRequestError):
@@ -172,7 +172,7 @@
         elif self.done:
             # The caller left while the claim was written: nothing was sent,
             # so the key is free for its next try.
-            self.app.ledger.release(self.ask.key, self.ask.rid)
+            self.app.ledger.release(self.request.key, self.request.rid)
         else:
             self.fence = fence
             self._claimed = True
@@ -200,34 +200,34 @@
         (symptom: backend_failed with one of five engines up, before load
         reports showed the outage), so each replica may refuse once.
         """
-        return attempts.RetryTerms(repeatable=self.ask.repeatable,
+        return attempts.RetryTerms(repeatable=self.request.repeatable,
                                    max_attempts=MAX_ATTEMPTS,
                                    refusals_uncounted=True)
 
     def send_next(self):
         """See ``serving.ActiveRequest``."""
-        rep = self.app.route(self.ask, self.ticket.priority,
-                             self.attempts.tried)
-        if rep is None:
+        replica = self.app.choose_replica(self.request, self.ticket.priority,
+                                          self.attempts.tried)
+        if replica is None:
             raise self._no_replica()
-        self.attempts.record_sent(rep.name)
-        self.rep = rep
-        self._place.enter_context(rep.occupied(self.ticket.priority))
-        self.send(rep)
+        self.attempts.record_sent(replica.name)
+        self.replica = replica
+        self._place.enter_context(replica.occupied(self.ticket.priority))
+        self.send(replica)
 
     def _no_replica(self):
-        pool = self.ask.klass.pool
+        pool = self.request.klass.pool
         if self.attempts.in_doubt:
             return errors.BackendFailedError(
                 f'{len(self.attempts.replicas)} replicas of {pool} failed; '
                 'none is left')
         return errors.NoReplicaError(f'no replica of {pool} takes requests')
 
-    def send(self, rep):
-        """Starts the call to ``rep``; subclasses end with ``attempt_over``."""
+    def send(self, replica):
+        """Calls ``replica``; subclasses call ``end_attempt``."""
         raise NotImplementedError
 
-    def attempt_over(self, *, reached=True, refused=False):
+    def end_attempt(self, *, reached=True, refused=False):
         """Gives back the replica's place; called once per attempt.
 
         Args:
@@ -247,12 +247,12 @@
             return
         if self.call is not None:
             self.call.cancel()
-            self.stop_backend(self.rep)
-            self.attempt_over()
+            self.stop_backend(self.replica)
+            self.end_attempt()
         self.close(Outcome.CANCELLED.value)
 
-    def stop_backend(self, rep):
-        """Tells ``rep`` to stop working on the request, where it can."""
+    def stop_backend(self, replica):
+        """Tells ``replica`` to stop working on the request, where it can."""
 
     def raise_priority(self):
         """Tells the replica of a promotion, where it can act on it."""
@@ -263,19 +263,20 @@
         """See ``serving.ActiveRequest``."""
         self.log.info('job_failed', code=exc.code, error=str(exc))
         if self._claimed and isinstance(exc, errors.NotRunError):
-            self.app.ledger.release(self.ask.key, self.ask.rid)
+            self.app.ledger.release(self.request.key, self.request.rid)
         elif self._claimed:
-            self.answered(exc.to_json(), exc.status)
+            self.record_response(exc.to_json(), exc.status)
         if not self.reply.error(exc):
             self.reply.stream_error(exc)
         return exc.code
 
-    def answered(self, obj, status):
+    def record_response(self, obj, status):
         """Records the answer of a claimed request for its repetitions."""
         if self._claimed:
-            self.app.ledger.done(self.ask.key, self.ask.rid, status, obj)
+            self.app.ledger.record_response(self.request.key, self.request.rid,
+                                            status, obj)
 
-    def first_token(self, now):
+    def record_first_token(self, now):
         """Notes the first token, or the whole reply of a plain service."""
         self.first_byte_at = now
         metrics.TTFT.labels(*self.labels).observe(now - self.arrived_at)
@@ -286,10 +287,10 @@
         if outcome == Outcome.OK.value:
             self._count_served(e2e)
         else:
-            self.wasted += self.tokens
+            self.wasted_tokens += self.tokens
         metrics.OUTCOMES.labels(*self.labels, outcome).inc()
-        if self.wasted:
-            metrics.WASTED.labels(*self.labels).inc(self.wasted)
+        if self.wasted_tokens:
+            metrics.WASTED.labels(*self.labels).inc(self.wasted_tokens)
         self.log.info('job_done',
                       outcome=outcome,
                       tokens=self.tokens,
@@ -298,10 +299,10 @@
                       e2e_ms=round(e2e * 1000, 1),
                       attempts=self.attempts.replicas)
         ran = self.started_at is not None
-        self.app.job_done(self, served_s=e2e if ran else None)
+        self.app.finish_job(self, served_s=e2e if ran else None)
 
     def _count_served(self, e2e):
-        klass = self.ask.klass
+        klass = self.request.klass
         metrics.E2E.labels(*self.labels).observe(e2e)
         ttft = self.first_byte_at - self.arrived_at
         if ttft * 1000 <= klass.ttft_ms and e2e * 1000 <= klass.e2e_ms:
--- a/gorsefall/entry/ledger.py
+++ b/gorsefall/entry/ledger.py
@@ -15,14 +15,14 @@
 from gorsefall.entry import watchers
 
 STREAM = 'ledger'
-READ_LIMIT = 1000
+MAX_RECORDS_PER_READ = 1000
 CLAIM_TIMEOUT_S = 3.0
-IN_PROGRESS_S = 60.0
+MAX_IN_PROGRESS_S = 60.0
 """An unanswered claim younger than this counts as still running."""
 
-MAX_REPLY_BYTES = 4096
-MAX_UNWRITTEN = 10000
-TICK_S = 0.2
+MAX_RECORDED_RESPONSE_BYTES = 4096
+MAX_PENDING_RECORDS = 10000
+TICK_PERIOD_S = 0.2
 
 
 class _Written(enum.Enum):
@@ -50,8 +50,8 @@
 
     Attributes:
         state: The ``claims.State``.
-        appends: Append calls made, for the capacity page.
-        records: Records written in them.
+        append_calls: Append calls made, for the capacity page.
+        appended_records: Records written in them.
     """
 
     def __init__(self, log_addr, entry_name, period_s, ttl_s):
@@ -63,15 +63,15 @@
             period_s: Seconds between reads while no claim is under way.
             ttl_s: How long a key is remembered, s.
         """
-        super().__init__(TICK_S, channel='ledger-watch')
+        super().__init__(TICK_PERIOD_S, channel='ledger-watch')
         self.idle_period_s = period_s
         self._read_at = -math.inf
-        self._streams = streams.Streams(self, log_addr)
+        self._streams = streams.StreamClient(self, log_addr)
         self.entry_name = entry_name
         self.state = claims.State(ttl_s)
-        self.appends = 0
-        self.records = 0
-        self.synced = False
+        self.append_calls = 0
+        self.appended_records = 0
+        self.has_start_offset = False
         self._waiters = {}
         self._abandoned = collections.OrderedDict()
         self._out = collections.deque()
@@ -98,9 +98,9 @@
         """Gives back a won claim whose request was certainly not sent."""
         self._send(self._record(claims.RecordKind.RELEASE, key, rid))
 
-    def done(self, key, rid, status, reply):
+    def record_response(self, key, rid, status, reply):
         """Records the answer, so that a repeated request gets the same."""
-        if len(msgspec.json.encode(reply)) > MAX_REPLY_BYTES:
+        if len(msgspec.json.encode(reply)) > MAX_RECORDED_RESPONSE_BYTES:
             reply = None
         self._send(
             self._record(claims.RecordKind.DONE,
@@ -128,8 +128,8 @@
         batch = list(self._out)
         self._out.clear()
         self._appending = True
-        self.appends += 1
-        self.records += len(batch)
+        self.append_calls += 1
+        self.appended_records += len(batch)
         self._streams.append(STREAM, batch,
                              lambda exc: self._appended(batch, exc))
 
@@ -162,7 +162,7 @@
         """
         for rec in batch:
             if rec.kind is not claims.RecordKind.CLAIM or exc.busy:
-                if len(self._out) < MAX_UNWRITTEN:
+                if len(self._out) < MAX_PENDING_RECORDS:
                     self._out.append(rec)
             elif exc.not_run and rec.rid in self._waiters:
                 self._abandon(rec.rid)
@@ -180,12 +180,12 @@
                 # Only a read that starts after the append was given up can
                 # tell that the record is missing.
                 waiter.written = _Written.CHECKING
-        if self._seek is None and not self.synced:
+        if self._seek is None and not self.has_start_offset:
             self._get(0, 0, self._found_bounds)
         else:
-            self._get(self.state.offset, READ_LIMIT, self._read)
+            self._get(self.state.offset, MAX_RECORDS_PER_READ, self._read)
 
-    def before_tick(self):
+    def on_tick(self):
         """Sends again what a failed append left."""
         if self._out and not self._appending:
             self._append()
@@ -215,10 +215,10 @@
 
     def _halve(self):
         low, high = self._seek
-        if high - low <= READ_LIMIT:
+        if high - low <= MAX_RECORDS_PER_READ:
             self.state.offset = low
-            self.synced = True
-            self._get(low, READ_LIMIT, self._read)
+            self.has_start_offset = True
+            self._get(low, MAX_RECORDS_PER_READ, self._read)
             return
         self._get((low + high) // 2, 1, self._probed)
 
@@ -256,9 +256,9 @@
                               offset=self.state.offset,
                               start=page.start)
             self.state.offset = page.start
-            self._get(self.state.offset, READ_LIMIT, self._read)
+            self._get(self.state.offset, MAX_RECORDS_PER_READ, self._read)
             return
-        self.last_ok = time.time()
+        self.last_success_at = time.time()
         for raw in page.records:
             self._apply(raw)
         at_end = self.state.offset >= page.end
@@ -301,7 +301,7 @@
         elif held.status:
             waiter.done(None,
                         errors.DuplicateRequestError(held.status, held.reply))
-        elif time.monotonic() - held.seen_at < IN_PROGRESS_S:
+        elif time.monotonic() - held.seen_at < MAX_IN_PROGRESS_S:
             waiter.done(None,
                         errors.InProgressError(f'key {rec.key!r} is being run'))
         else:
@@ -325,7 +325,7 @@
     def _abandon(self, rid):
         waiter = self._waiters.pop(rid)
         self._abandoned[rid] = True
-        while len(self._abandoned) > MAX_UNWRITTEN:
+        while len(self._abandoned) > MAX_PENDING_RECORDS:
             self._abandoned.popitem(last=False)
         if waiter.rec in self._out:
             self._out.remove(waiter.rec)
--- a/gorsefall/entry/peers.py
+++ b/gorsefall/entry/peers.py
@@ -12,9 +12,9 @@
 from gorsefall.net import links
 from gorsefall.policy import limits
 
-MAX_AGE_S = 5.0
-IDLE_PERIODS = 4
-IDLE_S = 1.0
+MAX_REPORT_AGE_S = 5.0
+IDLE_POLL_PERIODS = 4
+IDLE_TIMEOUT_S = 1.0
 
 
 class PeerWatch(watchers.Watcher):
@@ -51,7 +51,7 @@
         if unheard or self.limiter.report(time.monotonic()):
             return True
         idle_s = time.monotonic() - self._asked_at
-        return idle_s >= (IDLE_PERIODS - 0.5) * self.period_s
+        return idle_s >= (IDLE_POLL_PERIODS - 0.5) * self.period_s
 
     def poll(self):
         """Asks every peer once."""
@@ -67,7 +67,7 @@
                              addr,
                              'GET',
                              '/peer/usage',
-                             idle_s=IDLE_S,
+                             idle_s=IDLE_TIMEOUT_S,
                              done=self._reader(name))
         if not peers:
             self._sum_up()
@@ -93,7 +93,9 @@
     def _sum_up(self):
         now = time.monotonic()
         total = collections.defaultdict(limits.Usage)
-        fresh = [r for at, r in self._reports.values() if now - at < MAX_AGE_S]
+        fresh = [
+            r for at, r in self._reports.values() if now - at < MAX_REPORT_AGE_S
+        ]
         for report in fresh:
             for key, inflight, rate in report.use:
                 use = total[tuple(key)]
--- a/gorsefall/entry/servicejobs.py
+++ b/gorsefall/entry/servicejobs.py
@@ -9,22 +9,22 @@
 from gorsefall.net import links
 
 OK_STATUS = 200
-SERVER_ERROR = 500
+MIN_SERVER_ERROR_STATUS = 500
 
 
 class ServiceJob(jobs.Job):
-    """Calls a plain service for one ``jobs.ServiceAsk``."""
+    """Calls a plain service for one ``jobs.ServiceRequest``."""
 
-    def send(self, rep):
+    def send(self, replica):
         """See ``jobs.Job.send``."""
-        body = messages.ServiceCall(id=self.ask.rid,
+        body = messages.ServiceCall(id=self.request.rid,
                                     entry=self.app.entry_name,
-                                    op=self.ask.op,
-                                    args=self.ask.args,
-                                    key=self.ask.key,
+                                    op=self.request.op,
+                                    args=self.request.args,
+                                    key=self.request.key,
                                     fence=self.fence)
         self.call = links.fetch_json(self.app,
-                                     rep.addr,
+                                     replica.addr,
                                      'POST',
                                      '/call',
                                      body,
@@ -32,21 +32,21 @@
                                      idle_s=self.app.cfg.entry.link_idle_s)
 
     def _on_end(self, status, obj, exc):
-        rep = self.rep
+        replica = self.replica
         whole = exc is None and obj is not None
         refused = whole and replies.reports_not_run(obj)
-        self.attempt_over(reached=self.call is None or self.call.sent,
-                          refused=refused)
+        self.end_attempt(reached=self.call is None or self.call.sent,
+                         refused=refused)
         if self.done:
             return
-        if whole and status < SERVER_ERROR and not refused:
-            rep.record_success()
+        if whole and status < MIN_SERVER_ERROR_STATUS and not refused:
+            replica.record_success()
             self._answer(status, obj)
             return
-        rep.record_failure(time.monotonic())
+        replica.record_failure(time.monotonic())
         why = str(exc or status)
         self.log.warning('service_attempt_failed',
-                         replica=rep.name,
+                         replica=replica.name,
                          status=status,
                          error=str(exc),
                          refused=refused)
@@ -54,8 +54,8 @@
                            why)
 
     def _answer(self, status, obj):
-        self.first_token(time.monotonic())
-        self.answered(obj, status)
+        self.record_first_token(time.monotonic())
+        self.record_response(obj, status)
         self.reply.json(obj, status)
         self.close(jobs.Outcome.OK.value if status ==
                    OK_STATUS else jobs.Outcome.REFUSED.value)
--- a/gorsefall/entry/streams.py
+++ b/gorsefall/entry/streams.py
@@ -5,16 +5,16 @@
 from gorsefall import streamprotocol
 from gorsefall.net import links
 
-READ_IDLE_S = 5.0
+READ_IDLE_TIMEOUT_S = 5.0
 """Silence after which a read is given up, s: a page of 1,000 records takes a
 few ms, and what waits for it bears no longer."""
 
-APPEND_IDLE_S = 1.5
+APPEND_IDLE_TIMEOUT_S = 1.5
 """The same for an append, s: half of what a claim may take, so that one that
 was lost can still be looked for."""
 
 
-class Streams:
+class StreamClient:
     """Reads and appends records; answers come to a callback.
 
     ``done`` is called once, never before the method has returned.
@@ -49,7 +49,7 @@
                          self._addr,
                          'GET',
                          streamprotocol.read_path(stream, start, limit),
-                         idle_s=READ_IDLE_S,
+                         idle_s=READ_IDLE_TIMEOUT_S,
                          done=on_reply)
 
     def append(self, stream, records, done):
@@ -75,5 +75,5 @@
                          'POST',
                          streamprotocol.append_path(stream),
                          {'records': records},
-                         idle_s=APPEND_IDLE_S,
+                         idle_s=APPEND_IDLE_TIMEOUT_S,
                          done=on_reply)
--- a/gorsefall/entry/textjobs.py
+++ b/gorsefall/entry/textjobs.py
@@ -15,28 +15,28 @@
 
 
 class TextJob(jobs.Job):
-    """Generates text for one ``jobs.TextAsk``.
+    """Generates text for one ``jobs.TextRequest``.
 
     Generation changes nothing outside the engine, so an attempt that is cut
     goes on at another replica, after the tokens already delivered: the
     caller receives each token exactly once.
     """
 
-    def __init__(self, app, ask, ticket, reply):
-        super().__init__(app, ask, ticket, reply)
+    def __init__(self, app, request, ticket, reply):
+        super().__init__(app, request, ticket, reply)
         self._text = []
         self._buf = b''
         self._status = None
         self._last = None
         self._event_at = None
 
-    def send(self, rep):
+    def send(self, replica):
         """See ``jobs.Job.send``."""
-        order = messages.GenerateOrder(id=self.ask.rid,
+        order = messages.GenerateOrder(id=self.request.rid,
                                        entry=self.app.entry_name,
-                                       model=self.ask.model,
-                                       prompt=self.ask.prompt,
-                                       max_tokens=self.ask.max_tokens,
+                                       model=self.request.model,
+                                       prompt=self.request.prompt,
+                                       max_tokens=self.request.max_tokens,
                                        priority=self.ticket.priority,
                                        preempt=not self.ticket.promoted,
                                        resume_from=self.tokens,
@@ -46,7 +46,7 @@
         self._last = None
         self._event_at = None
         self.call = links.call(self.app,
-                               rep.addr,
+                               replica.addr,
                                'POST',
                                '/generate',
                                order,
@@ -75,7 +75,7 @@
         elif event.i == self.tokens:
             self._deliver(event)
         elif event.i + event.n <= self.tokens:
-            self.wasted += event.n
+            self.wasted_tokens += event.n
         else:
             # Tokens are missing, or only some of these are new: relaying
             # would give the caller another text than any engine made.
@@ -83,43 +83,43 @@
 
     def _misfit(self, event):
         self.log.error('engine_out_of_step',
-                       replica=self.rep.name,
+                       replica=self.replica.name,
                        at=event.i,
                        n=event.n,
                        delivered=self.tokens)
         self.call.cancel()
-        self.stop_backend(self.rep)
-        self._on_end(errors.LinkError(f'{self.rep.name} out of step'))
+        self.stop_backend(self.replica)
+        self._on_end(errors.LinkError(f'{self.replica.name} out of step'))
 
     def _deliver(self, event):
         now = time.monotonic()
         if self.first_byte_at is None:
-            self.first_token(now)
+            self.record_first_token(now)
         else:
             metrics.TBT.labels(*self.labels).observe(
-                (now - self.served_at) / event.n)
+                (now - self.last_progress_at) / event.n)
         if self._event_at is not None:
-            self.rep.observe_gap((now - self._event_at) / event.n)
-        self._event_at = self.served_at = now
+            self.replica.observe_gap((now - self._event_at) / event.n)
+        self._event_at = self.last_progress_at = now
         first = self.tokens == 0
         self.tokens += event.n
         self._text.append(event.t)
-        if self.ask.stream:
-            self._sse(openai.chunk(self.ask, event.t, first=first))
+        if self.request.stream:
+            self._sse(openai.chunk(self.request, event.t, first=first))
 
     def _on_end(self, exc):
-        rep = self.rep
-        self.attempt_over(reached=self.call is None or self.call.sent,
-                          refused=self._status not in (None, OK_STATUS))
+        replica = self.replica
+        self.end_attempt(reached=self.call is None or self.call.sent,
+                         refused=self._status not in (None, OK_STATUS))
         if self.done:
             return
         if self._last is not None and self._last.n == self.tokens:
-            rep.record_success()
+            replica.record_success()
             self._finish(self._last.reason)
             return
-        rep.record_failure(time.monotonic())
+        replica.record_failure(time.monotonic())
         self.log.warning('engine_attempt_failed',
-                         replica=rep.name,
+                         replica=replica.name,
                          status=self._status,
                          error=str(exc),
                          tokens=self.tokens)
@@ -129,42 +129,42 @@
                 f'{self.tokens} tokens were delivered'), str(exc))
 
     def _finish(self, reason):
-        if self.ask.stream:
-            self._sse(openai.chunk(self.ask, None, reason=reason))
+        if self.request.stream:
+            self._sse(openai.chunk(self.request, None, reason=reason))
             self.reply.push.send(b'data: [DONE]\n\n')
             self.reply.push.end()
         else:
-            body = openai.whole(self.ask, ''.join(self._text), reason,
-                                self.tokens)
-            self.answered(body, OK_STATUS)
+            body = openai.full_response(self.request, ''.join(self._text),
+                                        reason, self.tokens)
+            self.record_response(body, OK_STATUS)
             self.reply.json(body)
         self.close(jobs.Outcome.OK.value)
 
     def _sse(self, obj):
-        push = self.reply.stream(openai.SSE_TYPE)
+        push = self.reply.stream(openai.SSE_CONTENT_TYPE)
         push.send(b'data: ' + msgspec.json.encode(obj) + b'\n\n')
 
     def can_replay(self):
         """See ``jobs.Job.can_replay``."""
-        return not self.ask.stream
+        return not self.request.stream
 
-    def stop_backend(self, rep):
+    def stop_backend(self, replica):
         """See ``jobs.Job.stop_backend``."""
-        self._tell(rep, '/cancel', {'id': self.ask.rid})
+        self._tell(replica, '/cancel', {'id': self.request.rid})
 
     def raise_priority(self):
         """See ``jobs.Job.raise_priority``."""
         if self.call is not None:
-            self._tell(self.rep, '/priority', {
-                'id': self.ask.rid,
+            self._tell(self.replica, '/priority', {
+                'id': self.request.rid,
                 'priority': self.ticket.priority
             })
 
-    def _tell(self, rep, path, body):
+    def _tell(self, replica, path, body):
         # Best effort: if it is lost, the engine notices the closed stream,
         # and a promotion is merely late.
         links.fetch_json(self.app,
-                         rep.addr,
+                         replica.addr,
                          'POST',
                          path,
                          body,
--- a/gorsefall/entry/watchers.py
+++ b/gorsefall/entry/watchers.py
@@ -17,9 +17,9 @@
 from gorsefall.net import reactor
 from gorsefall.policy import routing
 
-READ_LIMIT = 500
-LOAD_IDLE_S = 2.0
-IDLE_PERIODS = 4
+MAX_RECORDS_PER_READ = 500
+LOAD_IDLE_TIMEOUT_S = 2.0
+IDLE_POLL_PERIODS = 4
 
 
 class Watcher(core.BaseComponent):
@@ -32,14 +32,14 @@
     Attributes:
         period_s: Seconds between polls.
         busy: Whether a poll is in flight.
-        last_ok: When a poll last succeeded, s (epoch); 0 before.
+        last_success_at: When a poll last succeeded, s (epoch); 0 before.
     """
 
     def __init__(self, period_s, channel):
         super().__init__(channel=channel)
         self.period_s = period_s
         self.busy = False
-        self.last_ok = 0.0
+        self.last_success_at = 0.0
 
     @core.handler('started', channel='*')
     def _on_started(self, component):
@@ -48,7 +48,7 @@
         self.poll()
 
     def _tick(self):
-        self.before_tick()
+        self.on_tick()
         if not self.busy and self.is_due():
             self.poll()
 
@@ -56,7 +56,7 @@
         """Whether a tick should start a poll."""
         return True
 
-    def before_tick(self):
+    def on_tick(self):
         """Called on every tick; for work that does not wait for a poll."""
 
     def poll(self):
@@ -80,7 +80,7 @@
             on_change: Called with the new ``State`` after each version.
         """
         super().__init__(period_s, channel='catalogue-watch')
-        self._streams = streams.Streams(self, log_addr)
+        self._streams = streams.StreamClient(self, log_addr)
         self.snapshot_s = snapshot_s
         self.state = catalogue.State(keep=1)
         self._on_change = on_change
@@ -96,8 +96,8 @@
     def poll(self):
         """Starts one read; see the class docstring."""
         self.busy = True
-        self._streams.read(publish.STREAM, self.state.offset, READ_LIMIT,
-                           self._read)
+        self._streams.read(publish.STREAM, self.state.offset,
+                           MAX_RECORDS_PER_READ, self._read)
 
     def _read(self, page, exc):
         if exc is None and page.expired:
@@ -109,11 +109,11 @@
         if exc is not None:
             self._log.warning('catalogue_read_failed', error=str(exc))
             return
-        self.last_ok = time.time()
+        self.last_success_at = time.time()
         for rec in page.records:
             if self.state.apply(rec.offset, rec.data):
                 self._adopted()
-        if len(page.records) == READ_LIMIT:
+        if len(page.records) == MAX_RECORDS_PER_READ:
             self.poll()
         elif time.monotonic() >= self._snapshot_due and self.state.version:
             self._check_snapshot()
@@ -228,7 +228,7 @@
         except msgspec.ValidationError as bad:
             self._log.error('vm_list_malformed', error=str(bad))
             return
-        self.last_ok = time.time()
+        self.last_success_at = time.time()
         self.fleet.update(vms)
 
 
@@ -236,26 +236,27 @@
     """Reads replicas' load reports into their ``routing.Replica``.
 
     A replica with requests of ours is asked every period, an idle one every
-    ``IDLE_PERIODS``, and no more than ``polls_per_s`` in all, the one asked
+    ``IDLE_POLL_PERIODS``, at most ``max_polls_per_s`` in all, the one asked
     longest ago first: what an entry spends on this does not grow with the
     number of replicas. Each replica is asked on its own; waiting for a
     whole round let one frozen replica hold up all reports for 2 s.
     """
 
-    def __init__(self, fleet, entry_name, period_s, polls_per_s, on_reports):
+    def __init__(self, fleet, entry_name, period_s, max_polls_per_s,
+                 on_reports):
         """Creates the watcher.
 
         Args:
             fleet: The ``fleet.Fleet`` whose replicas are read.
             entry_name: This entry's name in the reports.
             period_s: Seconds between reads of a busy replica.
-            polls_per_s: Most reads a second.
+            max_polls_per_s: Most reads a second.
             on_reports: Called after each report.
         """
         super().__init__(period_s, channel='load-watch')
         self.fleet = fleet
         self.entry_name = entry_name
-        self.polls_per_s = polls_per_s
+        self.max_polls_per_s = max_polls_per_s
         self._on_reports = on_reports
         self._asked = {}
         self._open = set()
@@ -271,34 +272,35 @@
         self._asked = {n: at for n, at in self._asked.items() if n in live}
         due = [r for r in live.values() if self._is_due(r, now)]
         due.sort(key=lambda r: self._asked.get(r.name, 0.0))
-        for rep in due[:max(1, int(self.polls_per_s * self.period_s))]:
-            self._asked[rep.name] = now
-            self._open.add(rep.name)
+        for replica in due[:max(1, int(self.max_polls_per_s * self.period_s))]:
+            self._asked[replica.name] = now
+            self._open.add(replica.name)
             links.fetch_json(self,
-                             rep.addr,
+                             replica.addr,
                              'GET',
                              '/load',
-                             idle_s=LOAD_IDLE_S,
-                             done=self._reader(rep))
+                             idle_s=LOAD_IDLE_TIMEOUT_S,
+                             done=self._reader(replica))
 
-    def _is_due(self, rep, now):
-        if rep.name in self._open:
+    def _is_due(self, replica, now):
+        if replica.name in self._open:
             return False
-        age = now - self._asked.get(rep.name, -math.inf)
+        age = now - self._asked.get(replica.name, -math.inf)
         # The timer itself is a little late or early.
-        return rep.inflight > 0 or age >= (IDLE_PERIODS - 0.5) * self.period_s
+        return replica.inflight > 0 or age >= (IDLE_POLL_PERIODS -
+                                               0.5) * self.period_s
 
-    def _reader(self, rep):
+    def _reader(self, replica):
 
         def done(status, obj, exc):
-            self._open.discard(rep.name)
+            self._open.discard(replica.name)
             if exc is None and status == 200:
                 report = msgspec.convert(obj, messages.LoadReport)
-                rep.others = report.others(self.entry_name)
-                rep.reported_at = report.at
-                rep.record_report()
+                replica.others = report.others(self.entry_name)
+                replica.reported_at = report.at
+                replica.record_report()
             elif exc is not None:
-                rep.record_missed_report(time.monotonic())
-            self._on_reports(rep.pool)
+                replica.record_missed_report(time.monotonic())
+            self._on_reports(replica.pool)
 
         return done
