--- a/gorsefall/entry/app.py
+++ b/gorsefall/entry/app.py
@@ -1,4 +1,4 @@
-"""Wires an entry process: routes, admission, watchers, drain on shutdown."""
+"""The entry process: HTTP routes, admission, watchers, graceful shutdown."""
 
 import collections
 import time
@@ -29,22 +29,27 @@
 from gorsefall.policy import limits
 from gorsefall.policy import routing
 
-SWEEP_PERIOD_S = 0.1
-"""How often deadlines and the starved are looked at, s: callers' deadlines are
-in hundreds of ms, and a pass over the queues takes under a ms."""
+TIMER_CHECK_PERIOD_S = 0.1
+"""Period of the checks for expired deadlines and starved requests, s.
+
+Callers' deadlines are hundreds of ms, and one check of all queues takes less
+than 1 ms."""
 
 FINAL_WRITES_S = 0.2
-"""Time for the last replies to be written out before the process ends, s."""
+"""Time to write the last responses before the process exits, s."""
 
 
 class Entry(daemon.Daemon):
-    """The entry daemon's state: fleet, admission by pool, jobs.
+    """The entry daemon: its fleet, the admission of each pool and its jobs.
 
     Attributes:
         cfg: The ``settings.Settings``.
         entry_name: This entry's name.
+        max_body_bytes: Maximum size of a request body, bytes.
         fleet: The ``fleet.Fleet``.
-        jobs: ``rid -> jobs.Job`` not yet finished.
+        catalogue: The ``watchers.CatalogueWatch``.
+        ledger: The ``ledger.Ledger``.
+        jobs: ``rid -> jobs.Job`` of the unfinished requests.
     """
     channel = 'entry'
 
@@ -55,13 +60,13 @@
         self.max_body_bytes = cfg.entry.max_body_bytes
         self.fleet = fleet.Fleet(cfg)
         policy = registry.policy(cfg.entry.policy)
-        self._new_admission = policy.admission
+        self._create_admission = policy.admission
         self._router = policy.router(cfg.entry.load_max_age_s)
         self._limiter = limits.Limits(self.fleet.shares)
         self._admissions = {}
         self.jobs = {}
-        self._by_sock = {}
-        self._ending = False
+        self._rid_by_socket = {}
+        self._stop_scheduled = False
         self._register_tasks()
 
     def _register_tasks(self):
@@ -77,30 +82,37 @@
         watchers.MembershipWatch(vm_addr, self.fleet,
                                  cfg.vm_poll_s).register(self)
         watchers.LoadWatch(self.fleet, self.entry_name, cfg.load_poll_s,
-                           cfg.load_polls_per_s, self._on_report).register(self)
+                           cfg.load_polls_per_s,
+                           self._on_load_report).register(self)
         peers.PeerWatch(self.fleet, self._limiter,
                         cfg.peer_poll_s).register(self)
 
     # -- catalogue -------------------------------------------------------------
 
     def lookup_class(self, customer, name):
-        """Returns the catalogue class, or raises a coded error.
+        """Returns the catalogue class of a customer.
+
+        Args:
+            customer: Customer name.
+            name: Name of the class.
 
         Raises:
-            errors.NoCatalogueError: No catalogue has been read yet.
-            errors.UnknownCustomerError: No class has this owner.
-            errors.UnknownClassError: The owner has no class of this name.
+            errors.NoCatalogueError: No catalogue is loaded yet.
+            errors.UnknownCustomerError: The customer owns no class.
+            errors.UnknownClassError: The customer owns no class of that name.
         """
         state = directory.require_loaded(self.catalogue.in_force)
         klass = state.lookup(customer, name)
         if klass is not None:
             return klass
         if any(k.owner == customer for k in state.doc.classes):
-            raise errors.UnknownClassError(f'{customer} has no class {name!r}')
+            raise errors.UnknownClassError(
+                f'customer {customer!r} has no class {name!r}')
         raise errors.UnknownCustomerError(
-            f'no customer {customer!r} in catalogue v{state.version}')
+            f'customer {customer!r} owns no class in catalogue version '
+            f'{state.version}')
 
-    def _scopes(self, klass):
+    def _limit_scopes(self, klass):
         scopes = [(klass.key, klass.rate_per_s, klass.concurrency)]
         customer = self.catalogue.state.customer(klass.owner)
         if customer is not None:
@@ -114,15 +126,15 @@
     # -- requests --------------------------------------------------------------
 
     def is_ready(self):
-        """True when the balancer may send new work here."""
+        """Returns True if the load balancer may send new requests here."""
         return not self.draining and self.catalogue.in_force is not None
 
     def refresh_admission(self, pool):
-        """Returns the pool's admission, up to date with the fleet."""
+        """Returns the pool's admission, updated with the state of the fleet."""
         adm = self._admissions.get(pool)
         if adm is None:
-            adm = self._new_admission(0, self.cfg.entry.queue_limit,
-                                      self._limiter)
+            adm = self._create_admission(0, self.cfg.entry.queue_limit,
+                                         self._limiter)
             self._admissions[pool] = adm
         adm.capacity = self.fleet.capacity(pool)
         adm.others = self.fleet.others_in_flight(pool, time.time(),
@@ -130,10 +142,16 @@
         return adm
 
     def submit(self, request, http_req, http_res):
-        """Admits ``request``; its job sends the reply.
+        """Admits a request; its job sends the response.
+
+        Args:
+            request: The ``jobs.CallerRequest``.
+            http_req: The circuits.web request.
+            http_res: The circuits.web response.
 
         Raises:
-            errors.NotRunError: Draining, over limits or shed (nothing ran).
+            errors.NotRunError: The request was refused and not executed: the
+                entry drains, a limit is reached or the request is shed.
         """
         labels = (request.customer, request.klass.name, str(request.klass.tier))
         try:
@@ -146,34 +164,44 @@
         now = time.monotonic()
         if not self.shutdown.accepts_requests(now):
             raise errors.DrainingError(
-                'entry is shutting down; retry elsewhere')
+                'the entry is shutting down; retry at another entry')
         if request.klass.pool not in self.fleet.pools:
-            raise errors.NoReplicaError(f'no pool {request.klass.pool!r} here')
+            raise errors.NoReplicaError(
+                f'this entry has no replicas of pool {request.klass.pool!r}')
         ticket = admission.Ticket(rid=request.rid,
                                   tier=request.klass.tier,
                                   arrived=now,
                                   deadline=request.deadline,
                                   target_s=request.klass.ttft_ms / 1000.0,
                                   group=request.klass.key,
-                                  scopes=self._scopes(request.klass))
+                                  scopes=self._limit_scopes(request.klass))
         adm = self.refresh_admission(request.klass.pool)
         verdict, shed = adm.arrive(ticket, now)
-        later = replies.DeferredReply(self, http_res, closing=self.draining)
-        job = dispatch.create_job(request, self, ticket, later)
+        reply = replies.DeferredReply(self, http_res, closing=self.draining)
+        job = dispatch.create_job(request, self, ticket, reply)
         self.jobs[request.rid] = job
-        self._by_sock[http_req.sock] = request.rid
-        for victim in shed:
+        self._rid_by_socket[http_req.sock] = request.rid
+        for dropped in shed:
             self._refuse(
-                victim,
-                errors.ShedError('pushed out by a higher tier',
-                                 retry_after=retry_delay.after_queue_s(
-                                     adm.served_time_s)))
+                dropped,
+                errors.ShedError(
+                    'dropped from the queue by a request of a higher tier',
+                    retry_after=retry_delay.after_queue_s(adm.served_time_s)))
         metrics.QUEUED.labels(request.klass.pool).set(len(adm.waiting()))
         if verdict is admission.Verdict.RUN:
             job.start()
 
     def choose_replica(self, request, priority, tried):
-        """Returns the replica for ``request``'s next attempt, or None."""
+        """Returns the replica for the next attempt of a request.
+
+        Args:
+            request: The ``jobs.CallerRequest``.
+            priority: Priority of the attempt, 1 (highest) to 5.
+            tried: Names of the replicas to exclude.
+
+        Returns:
+            A ``routing.Replica``, or None if no replica is available.
+        """
         return self._router.choose(
             self.fleet.candidates(request.klass.pool, tried),
             routing.RequestProfile(request.prefix_text, priority),
@@ -186,39 +214,49 @@
             job.fail(exc)
 
     def finish_job(self, job, served_s=None):
-        """Called by a job at its end: frees its place, starts the next."""
+        """Releases a finished job's slot and starts the next queued jobs.
+
+        Args:
+            job: The finished ``jobs.Job``.
+            served_s: Time from arrival to end, s; None if the job was never
+                started.
+        """
         self.jobs.pop(job.request.rid, None)
         pool = job.request.klass.pool
         adm = self.refresh_admission(pool)
-        self._start(adm.finish(job.request.rid, time.monotonic(), served_s))
+        self._start_jobs(adm.finish(job.request.rid, time.monotonic(),
+                                    served_s))
         metrics.QUEUED.labels(pool).set(len(adm.waiting()))
 
-    def _start(self, tickets):
+    def _start_jobs(self, tickets):
         for ticket in tickets:
             job = self.jobs.get(ticket.rid)
             if job is not None:
                 job.start()
 
-    def _on_report(self, pool):
+    def _on_load_report(self, pool):
         if pool in self._admissions:
-            self._start(self.refresh_admission(pool).drain(time.monotonic()))
+            self._start_jobs(
+                self.refresh_admission(pool).drain(time.monotonic()))
 
     @core.handler('started', channel='*')
     def _on_started(self, component):
         del component
-        reactor.find_reactor(self).call_every(SWEEP_PERIOD_S, self._sweep)
+        reactor.find_reactor(self).call_every(TIMER_CHECK_PERIOD_S,
+                                              self._check_timers)
 
-    def _sweep(self):
-        """Looks for passed deadlines, the starved and the drain's end."""
+    def _check_timers(self):
+        """Handles expired deadlines, starved requests and the drain's end."""
         now = time.monotonic()
         for pool in list(self._admissions):
             adm = self.refresh_admission(pool)
             for ticket in adm.expire(now):
                 self._refuse(
                     ticket,
-                    errors.DeadlineError('its deadline passed while it waited',
-                                         retry_after=retry_delay.after_queue_s(
-                                             adm.served_time_s)))
+                    errors.DeadlineError(
+                        'the deadline expired while the request was queued',
+                        retry_after=retry_delay.after_queue_s(
+                            adm.served_time_s)))
             served = {
                 rid: self.jobs[rid].last_progress_at for rid in adm.running
             }
@@ -227,12 +265,12 @@
                 metrics.PROMOTED.labels(*self.jobs[ticket.rid].labels).inc()
             for ticket in raised:
                 self.jobs[ticket.rid].raise_priority()
-            self._start(start)
+            self._start_jobs(start)
         self._check_drained(now)
 
     @core.handler('disconnect', channel=replies.WEB_CHANNEL)
     def _on_disconnect(self, sock):
-        rid = self._by_sock.pop(sock, None)
+        rid = self._rid_by_socket.pop(sock, None)
         job = self.jobs.get(rid)
         if job is not None:
             job.cancel()
@@ -243,7 +281,7 @@
                                   use=self._limiter.report(time.monotonic()))
 
     def status(self):
-        """Returns the operators' status page as a dict."""
+        """Returns the status page for operators as a dict."""
         state = self.catalogue.state
         wall, now = time.time(), time.monotonic()
         return {
@@ -305,16 +343,24 @@
         return self.cfg.entry.drain_s
 
     def _check_drained(self, now):
-        if self._ending or not self.shutdown.is_finished(now, bool(self.jobs)):
+        if self._stop_scheduled or not self.shutdown.is_finished(
+                now, bool(self.jobs)):
             return
-        self._ending = True
+        self._stop_scheduled = True
         self.log.info('stopped', left=len(self.jobs))
-        # Give the last replies a moment to be written out.
+        # The last responses may still be in the sockets' write buffers.
         reactor.find_reactor(self).call_later(FINAL_WRITES_S, self.root.stop)
 
 
 def build(cfg):
-    """Builds the circuits tree of an entry process; returns its root."""
+    """Builds the circuits tree of an entry process.
+
+    Args:
+        cfg: The ``settings.Settings``.
+
+    Returns:
+        ``(root, entry)``: the root component and the ``Entry``.
+    """
     host, port = settingsfile.split_addr(cfg.entry.listen)
     server = web.Server((host, port), channel=replies.WEB_CHANNEL)
     loop = reactor.Reactor().register(server)
--- a/gorsefall/entry/jobs.py
+++ b/gorsefall/entry/jobs.py
@@ -1,4 +1,4 @@
-"""What every caller request goes through: claim, dispatch, retry, finish."""
+"""Caller requests and their life cycle: claim, dispatch, retry, response."""
 
 import contextlib
 import dataclasses
@@ -15,12 +15,14 @@
 from gorsefall.policy import attempts
 
 MAX_ATTEMPTS = 3
-"""Replicas that may have begun one request, at most: the second covers one
-that crashed, the third one that crashed while its work moved."""
+"""Maximum number of replicas that may have started the same request.
+
+The second attempt covers the crash of one replica, the third the crash of
+another one while the work moves."""
 
 
 class Outcome(enum.Enum):
-    """How a job ended, beside the error codes."""
+    """Outcomes of a job other than the error codes."""
     OK = 'ok'
     REFUSED = 'refused'
     REPLAYED = 'replayed'
@@ -29,15 +31,15 @@
 
 @dataclasses.dataclass(kw_only=True)
 class CallerRequest:
-    """What a caller asked, decoded; subclasses add what is asked for.
+    """A decoded request of a caller; subclasses add its payload.
 
     Attributes:
         rid: Request id.
         customer: Customer name.
         klass: The catalogue ``Klass``.
-        key: Idempotency key scoped by customer, or empty.
-        repeatable: False when the request must run at most once.
-        deadline: Time by which it must have started, s (monotonic).
+        key: Idempotency key prefixed with the customer, or empty.
+        repeatable: False if the request must be executed at most once.
+        deadline: Latest start time, s (monotonic).
     """
     rid: ids.RequestId
     customer: ids.CustomerId
@@ -48,12 +50,12 @@
 
     @property
     def prefix_text(self):
-        """Text whose start decides where its shared part is cached."""
+        """The text whose prefix determines cache affinity."""
         return ''
 
     @property
     def digest(self):
-        """Digest of what is asked, to notice a key used for another."""
+        """Digest of the payload; detects reuse of a key for another request."""
         return ''
 
 
@@ -64,7 +66,7 @@
     Attributes:
         model: Model name.
         prompt: Prompt text (chat messages joined).
-        max_tokens: Token cap.
+        max_tokens: Maximum number of generated tokens.
         stream: Whether the caller wants server-sent events.
     """
     model: str = 'default'
@@ -84,16 +86,16 @@
 
 
 class ChatRequest(TextRequest):
-    """A chat completion."""
+    """A chat completion request."""
 
 
 class CompletionRequest(TextRequest):
-    """A plain completion."""
+    """A text completion request."""
 
 
 @dataclasses.dataclass(kw_only=True)
 class ServiceRequest(CallerRequest):
-    """A plain-service call.
+    """A call of a plain service.
 
     Attributes:
         op: Operation name.
@@ -108,32 +110,48 @@
         return claims.call_digest(self.op, self.args)
 
 
-def _ms(since, until):
-    """Returns the time between in ms, or None when it never came."""
+def _elapsed_ms(since, until):
+    """Returns the time from ``since`` to ``until`` in ms.
+
+    Args:
+        since: Start time, s.
+        until: End time, s, or None if the event did not occur.
+
+    Returns:
+        The time in ms, or None if ``until`` is None.
+    """
     return None if until is None else round((until - since) * 1000, 1)
 
 
 def new_rid():
-    """Returns a fresh request id."""
+    """Returns a new unique request id."""
     return ids.RequestId('req-' + uuid.uuid4().hex[:16])
 
 
 class Job(serving.ActiveRequest):
-    """Runs one ``CallerRequest`` through a pool's replicas; owns its reply.
+    """Executes one ``CallerRequest`` on replicas of its pool.
 
     Attributes:
+        app: The ``app.Entry``.
+        request: The ``CallerRequest``.
         ticket: Its ``admission.Ticket``.
-        tokens: Tokens delivered to the caller.
-        wasted_tokens: Tokens generated and then thrown away or repeated.
-        last_progress_at: Last sign of service from the replica, s (monotonic).
+        reply: The ``replies.DeferredReply`` to the caller.
+        started_at: When the job left the queue, s (monotonic); None before.
+        last_progress_at: When the replica last made progress, s (monotonic).
+        tokens: Number of tokens delivered to the caller.
+        wasted_tokens: Number of tokens generated but discarded or repeated.
+        replica: The ``routing.Replica`` of the current attempt.
+        call: The call to that replica; None between attempts.
+        fence: Fencing token of the ledger claim; 0 without a claim.
+        labels: Label values of the job's metrics.
     """
 
     def __init__(self, app, request, ticket, reply):
-        k = request.klass
+        klass = request.klass
         super().__init__(
             logs.get('job').bind(rid=request.rid,
                                  customer=request.customer,
-                                 klass=k.name))
+                                 klass=klass.name))
         self.app = app
         self.request = request
         self.ticket = ticket
@@ -146,16 +164,16 @@
         self.call = None
         self.fence = 0
         self._claimed = False
-        self._place = contextlib.ExitStack()
-        self.labels = (request.customer, k.name, str(k.tier))
+        self._replica_slot = contextlib.ExitStack()
+        self.labels = (request.customer, klass.name, str(klass.tier))
 
     # -- lifecycle -----------------------------------------------------------
 
     def start(self):
-        """Leaves the queue and goes out, after a ledger claim if needed.
+        """Starts the first attempt, after a ledger claim if one is needed.
 
-        Without a key no other entry and no retry can run the same request,
-        so only requests with a key are claimed.
+        Only non-repeatable requests with a key are claimed: without a key,
+        no retry and no other entry can identify the same request.
         """
         self.started_at = self.last_progress_at = time.monotonic()
         if self.request.repeatable or not self.request.key:
@@ -166,12 +184,12 @@
 
     def _on_claim(self, fence, exc):
         if isinstance(exc, errors.DuplicateRequestError):
-            self._replay(exc)
+            self._replay_recorded(exc)
         elif exc is not None:
             self.fail(exc)
         elif self.done:
-            # The caller left while the claim was written: nothing was sent,
-            # so the key is free for its next try.
+            # The caller disconnected while the claim was written. Nothing
+            # was sent to a replica, so the caller may retry with this key.
             self.app.ledger.release(self.request.key, self.request.rid)
         else:
             self.fence = fence
@@ -179,10 +197,10 @@
             self.dispatch()
 
     def can_replay(self):
-        """Whether a recorded answer fits the form the caller wants."""
+        """Returns True if a recorded response has the format requested."""
         return True
 
-    def _replay(self, exc):
+    def _replay_recorded(self, exc):
         if self.done:
             return
         if exc.reply is None or not self.can_replay():
@@ -196,9 +214,10 @@
     def terms(self):
         """See ``serving.ActiveRequest``.
 
-        Counting refusals failed requests while a healthy replica was left
-        (symptom: backend_failed with one of five engines up, before load
-        reports showed the outage), so each replica may refuse once.
+        Refusals don't count as attempts, so each replica may refuse once.
+        Otherwise a request fails with backend_failed although a replica is
+        healthy, for instance when four of five engines are down and the load
+        reports don't show it yet.
         """
         return attempts.RetryTerms(repeatable=self.request.repeatable,
                                    max_attempts=MAX_ATTEMPTS,
@@ -209,32 +228,37 @@
         replica = self.app.choose_replica(self.request, self.ticket.priority,
                                           self.attempts.tried)
         if replica is None:
-            raise self._no_replica()
+            raise self._no_replica_error()
         self.attempts.record_sent(replica.name)
         self.replica = replica
-        self._place.enter_context(replica.occupied(self.ticket.priority))
+        self._replica_slot.enter_context(replica.occupied(self.ticket.priority))
         self.send(replica)
 
-    def _no_replica(self):
+    def _no_replica_error(self):
         pool = self.request.klass.pool
         if self.attempts.in_doubt:
             return errors.BackendFailedError(
-                f'{len(self.attempts.replicas)} replicas of {pool} failed; '
-                'none is left')
-        return errors.NoReplicaError(f'no replica of {pool} takes requests')
+                f'{len(self.attempts.replicas)} replicas of pool {pool} failed '
+                'and no other replica is available')
+        return errors.NoReplicaError(
+            f'no replica of pool {pool} accepts requests')
 
     def send(self, replica):
-        """Calls ``replica``; subclasses call ``end_attempt``."""
+        """Starts a call to ``replica``.
+
+        Subclasses call ``end_attempt`` when the call ends.
+        """
         raise NotImplementedError
 
     def end_attempt(self, *, reached=True, refused=False):
-        """Gives back the replica's place; called once per attempt.
+        """Releases the replica's slot; called once per attempt.
 
         Args:
-            reached: Whether any byte went out.
-            refused: Whether the replica says that it did nothing.
+            reached: Whether any byte was sent to the replica.
+            refused: Whether the replica reported that it did not execute the
+                request.
         """
-        self._place.close()
+        self._replica_slot.close()
         self.call = None
         if not reached:
             self.attempts.record_unreached()
@@ -242,7 +266,7 @@
             self.attempts.record_refusal()
 
     def cancel(self):
-        """The caller went away: stop the back end and count the waste."""
+        """Cancels the job after its caller disconnected."""
         if self.done:
             return
         if self.call is not None:
@@ -252,10 +276,10 @@
         self.close(Outcome.CANCELLED.value)
 
     def stop_backend(self, replica):
-        """Tells ``replica`` to stop working on the request, where it can."""
+        """Asks ``replica`` to stop the request, if it supports that."""
 
     def raise_priority(self):
-        """Tells the replica of a promotion, where it can act on it."""
+        """Sends the raised priority to the replica, if it supports that."""
 
     # -- endings ---------------------------------------------------------------
 
@@ -271,21 +295,21 @@
         return exc.code
 
     def record_response(self, obj, status):
-        """Records the answer of a claimed request for its repetitions."""
+        """Records a claimed request's response, to replay it to retries."""
         if self._claimed:
             self.app.ledger.record_response(self.request.key, self.request.rid,
                                             status, obj)
 
     def record_first_token(self, now):
-        """Notes the first token, or the whole reply of a plain service."""
+        """Records the time of the first token or of a service's response."""
         self.first_byte_at = now
         metrics.TTFT.labels(*self.labels).observe(now - self.arrived_at)
 
     def record_end(self, outcome, exc):
         """See ``serving.ActiveRequest``."""
-        e2e = time.monotonic() - self.arrived_at
+        e2e_s = time.monotonic() - self.arrived_at
         if outcome == Outcome.OK.value:
-            self._count_served(e2e)
+            self._count_served(e2e_s)
         else:
             self.wasted_tokens += self.tokens
         metrics.OUTCOMES.labels(*self.labels, outcome).inc()
@@ -294,17 +318,17 @@
         self.log.info('job_done',
                       outcome=outcome,
                       tokens=self.tokens,
-                      queued_ms=_ms(self.arrived_at, self.started_at),
-                      ttft_ms=_ms(self.arrived_at, self.first_byte_at),
-                      e2e_ms=round(e2e * 1000, 1),
+                      queued_ms=_elapsed_ms(self.arrived_at, self.started_at),
+                      ttft_ms=_elapsed_ms(self.arrived_at, self.first_byte_at),
+                      e2e_ms=round(e2e_s * 1000, 1),
                       attempts=self.attempts.replicas)
-        ran = self.started_at is not None
-        self.app.finish_job(self, served_s=e2e if ran else None)
+        was_started = self.started_at is not None
+        self.app.finish_job(self, served_s=e2e_s if was_started else None)
 
-    def _count_served(self, e2e):
+    def _count_served(self, e2e_s):
         klass = self.request.klass
-        metrics.E2E.labels(*self.labels).observe(e2e)
-        ttft = self.first_byte_at - self.arrived_at
-        if ttft * 1000 <= klass.ttft_ms and e2e * 1000 <= klass.e2e_ms:
+        metrics.E2E.labels(*self.labels).observe(e2e_s)
+        ttft_s = self.first_byte_at - self.arrived_at
+        if ttft_s * 1000 <= klass.ttft_ms and e2e_s * 1000 <= klass.e2e_ms:
             metrics.ATTAINED.labels(*self.labels).inc()
             metrics.GOODPUT.labels(*self.labels).inc(self.tokens)
