--- a/gorsefall/entry/servicejobs.py
+++ b/gorsefall/entry/servicejobs.py
@@ -1,4 +1,4 @@
-"""Plain-service calls: repeated only where that is safe."""
+"""Calls of plain services, retried only where a second run is safe."""
 
 import time
 
@@ -13,7 +13,7 @@
 
 
 class ServiceJob(jobs.Job):
-    """Calls a plain service for one ``jobs.ServiceRequest``."""
+    """Executes one ``jobs.ServiceRequest``."""
 
     def send(self, replica):
         """See ``jobs.Job.send``."""
@@ -33,27 +33,28 @@
 
     def _on_end(self, status, obj, exc):
         replica = self.replica
-        whole = exc is None and obj is not None
-        refused = whole and replies.reports_not_run(obj)
+        complete = exc is None and obj is not None
+        refused = complete and replies.reports_not_run(obj)
         self.end_attempt(reached=self.call is None or self.call.sent,
                          refused=refused)
         if self.done:
             return
-        if whole and status < MIN_SERVER_ERROR_STATUS and not refused:
+        if complete and status < MIN_SERVER_ERROR_STATUS and not refused:
             replica.record_success()
-            self._answer(status, obj)
+            self._send_response(status, obj)
             return
         replica.record_failure(time.monotonic())
-        why = str(exc or status)
+        reason = str(exc or status)
         self.log.warning('service_attempt_failed',
                          replica=replica.name,
                          status=status,
                          error=str(exc),
                          refused=refused)
-        self.retry_or_fail(errors.BackendFailedError(f'service failed: {why}'),
-                           why)
+        self.retry_or_fail(
+            errors.BackendFailedError(
+                f'the call to the service failed: {reason}'), reason)
 
-    def _answer(self, status, obj):
+    def _send_response(self, status, obj):
         self.record_first_token(time.monotonic())
         self.record_response(obj, status)
         self.reply.json(obj, status)
--- a/gorsefall/entry/textjobs.py
+++ b/gorsefall/entry/textjobs.py
@@ -1,4 +1,4 @@
-"""Requests for generated text: relays an engine's stream to the caller."""
+"""Text generation requests: relays an engine's stream to the caller."""
 
 import time
 
@@ -17,39 +17,39 @@
 class TextJob(jobs.Job):
     """Generates text for one ``jobs.TextRequest``.
 
-    Generation changes nothing outside the engine, so an attempt that is cut
-    goes on at another replica, after the tokens already delivered: the
-    caller receives each token exactly once.
+    Generation has no side effects outside the engine. If an attempt is
+    interrupted, another replica therefore continues after the tokens already
+    delivered, and the caller receives each token exactly once.
     """
 
     def __init__(self, app, request, ticket, reply):
         super().__init__(app, request, ticket, reply)
-        self._text = []
-        self._buf = b''
+        self._parts = []
+        self._partial_line = b''
         self._status = None
-        self._last = None
-        self._event_at = None
+        self._final_event = None
+        self._last_event_at = None
 
     def send(self, replica):
         """See ``jobs.Job.send``."""
-        order = messages.GenerateOrder(id=self.request.rid,
-                                       entry=self.app.entry_name,
-                                       model=self.request.model,
-                                       prompt=self.request.prompt,
-                                       max_tokens=self.request.max_tokens,
-                                       priority=self.ticket.priority,
-                                       preempt=not self.ticket.promoted,
-                                       resume_from=self.tokens,
-                                       prior=''.join(self._text))
-        self._buf = b''
+        body = messages.GenerateOrder(id=self.request.rid,
+                                      entry=self.app.entry_name,
+                                      model=self.request.model,
+                                      prompt=self.request.prompt,
+                                      max_tokens=self.request.max_tokens,
+                                      priority=self.ticket.priority,
+                                      preempt=not self.ticket.promoted,
+                                      resume_from=self.tokens,
+                                      prior=''.join(self._parts))
+        self._partial_line = b''
         self._status = None
-        self._last = None
-        self._event_at = None
+        self._final_event = None
+        self._last_event_at = None
         self.call = links.call(self.app,
                                replica.addr,
                                'POST',
                                '/generate',
-                               order,
+                               body,
                                on_head=self._on_head,
                                on_data=self._on_data,
                                on_end=self._on_end,
@@ -61,15 +61,15 @@
     def _on_data(self, data):
         if self._status != OK_STATUS:
             return
-        self._buf += data
-        *lines, self._buf = self._buf.split(b'\n')
+        self._partial_line += data
+        *lines, self._partial_line = self._partial_line.split(b'\n')
         for line in lines:
             if line:
                 self._on_event(msgspec.json.decode(line, type=messages.Event))
 
     def _on_event(self, event):
         if event.done:
-            self._last = event
+            self._final_event = event
         elif event.n == 0:
             return
         elif event.i == self.tokens:
@@ -77,11 +77,12 @@
         elif event.i + event.n <= self.tokens:
             self.wasted_tokens += event.n
         else:
-            # Tokens are missing, or only some of these are new: relaying
-            # would give the caller another text than any engine made.
-            self._misfit(event)
+            # Tokens are missing, or the event mixes delivered and new
+            # tokens. Relaying it would give the caller a text that no engine
+            # generated.
+            self._abort_on_gap(event)
 
-    def _misfit(self, event):
+    def _abort_on_gap(self, event):
         self.log.error('engine_out_of_step',
                        replica=self.replica.name,
                        at=event.i,
@@ -89,7 +90,9 @@
                        delivered=self.tokens)
         self.call.cancel()
         self.stop_backend(self.replica)
-        self._on_end(errors.LinkError(f'{self.replica.name} out of step'))
+        self._on_end(
+            errors.LinkError(
+                f'{self.replica.name} sent tokens out of sequence'))
 
     def _deliver(self, event):
         now = time.monotonic()
@@ -98,14 +101,14 @@
         else:
             metrics.TBT.labels(*self.labels).observe(
                 (now - self.last_progress_at) / event.n)
-        if self._event_at is not None:
-            self.replica.observe_gap((now - self._event_at) / event.n)
-        self._event_at = self.last_progress_at = now
+        if self._last_event_at is not None:
+            self.replica.observe_gap((now - self._last_event_at) / event.n)
+        self._last_event_at = self.last_progress_at = now
         first = self.tokens == 0
         self.tokens += event.n
-        self._text.append(event.t)
+        self._parts.append(event.t)
         if self.request.stream:
-            self._sse(openai.chunk(self.request, event.t, first=first))
+            self._send_chunk(openai.chunk(self.request, event.t, first=first))
 
     def _on_end(self, exc):
         replica = self.replica
@@ -113,9 +116,9 @@
                          refused=self._status not in (None, OK_STATUS))
         if self.done:
             return
-        if self._last is not None and self._last.n == self.tokens:
+        if self._final_event is not None and self._final_event.n == self.tokens:
             replica.record_success()
-            self._finish(self._last.reason)
+            self._finish(self._final_event.reason)
             return
         replica.record_failure(time.monotonic())
         self.log.warning('engine_attempt_failed',
@@ -125,24 +128,24 @@
                          tokens=self.tokens)
         self.retry_or_fail(
             errors.BackendFailedError(
-                f'{len(self.attempts.replicas)} engines failed; '
+                f'{len(self.attempts.replicas)} engines failed after '
                 f'{self.tokens} tokens were delivered'), str(exc))
 
     def _finish(self, reason):
         if self.request.stream:
-            self._sse(openai.chunk(self.request, None, reason=reason))
+            self._send_chunk(openai.chunk(self.request, None, reason=reason))
             self.reply.push.send(b'data: [DONE]\n\n')
             self.reply.push.end()
         else:
-            body = openai.full_response(self.request, ''.join(self._text),
+            body = openai.full_response(self.request, ''.join(self._parts),
                                         reason, self.tokens)
             self.record_response(body, OK_STATUS)
             self.reply.json(body)
         self.close(jobs.Outcome.OK.value)
 
-    def _sse(self, obj):
-        push = self.reply.stream(openai.SSE_CONTENT_TYPE)
-        push.send(b'data: ' + msgspec.json.encode(obj) + b'\n\n')
+    def _send_chunk(self, obj):
+        stream = self.reply.stream(openai.SSE_CONTENT_TYPE)
+        stream.send(b'data: ' + msgspec.json.encode(obj) + b'\n\n')
 
     def can_replay(self):
         """See ``jobs.Job.can_replay``."""
@@ -150,19 +153,19 @@
 
     def stop_backend(self, replica):
         """See ``jobs.Job.stop_backend``."""
-        self._tell(replica, '/cancel', {'id': self.request.rid})
+        self._post(replica, '/cancel', {'id': self.request.rid})
 
     def raise_priority(self):
         """See ``jobs.Job.raise_priority``."""
         if self.call is not None:
-            self._tell(self.replica, '/priority', {
+            self._post(self.replica, '/priority', {
                 'id': self.request.rid,
                 'priority': self.ticket.priority
             })
 
-    def _tell(self, replica, path, body):
-        # Best effort: if it is lost, the engine notices the closed stream,
-        # and a promotion is merely late.
+    def _post(self, replica, path, body):
+        # Failures are ignored: an engine that misses a cancellation detects
+        # the closed stream, and a missed promotion only delays the request.
         links.fetch_json(self.app,
                          replica.addr,
                          'POST',
