--- a/gorsefall/entry/ledger.py
+++ b/gorsefall/entry/ledger.py
@@ -1,4 +1,4 @@
-"""At-most-once ledger of an entry: claims keys through the log service."""
+"""The entry's at-most-once ledger: claims keys through the log service."""
 
 import collections
 import dataclasses
@@ -18,15 +18,22 @@
 MAX_RECORDS_PER_READ = 1000
 CLAIM_TIMEOUT_S = 3.0
 MAX_IN_PROGRESS_S = 60.0
-"""An unanswered claim younger than this counts as still running."""
+"""Age up to which a claim without a recorded response counts as running, s."""
 
 MAX_RECORDED_RESPONSE_BYTES = 4096
 MAX_PENDING_RECORDS = 10000
 TICK_PERIOD_S = 0.2
 
 
-class _Written(enum.Enum):
-    """What is known of a claim's append."""
+class _AppendState(enum.Enum):
+    """Whether the record of a claim is in the stream.
+
+    Attributes:
+        NO: It was not appended yet.
+        YES: The log service confirmed the append.
+        LOST: The append failed without a response; it may be in the stream.
+        CHECKING: As LOST, and a read that started later is in flight.
+    """
     NO = 'no'
     YES = 'yes'
     LOST = 'lost'
@@ -34,24 +41,27 @@
 
 
 @dataclasses.dataclass
-class _Waiter:
+class _PendingClaim:
     rec: claims.Record
     done: object
-    since: float
-    written: _Written = _Written.NO
+    started_at: float
+    written: _AppendState = _AppendState.NO
 
 
 class Ledger(watchers.Watcher):
-    """Tails the ledger stream, claims keys and records answers.
+    """Tails the ledger stream, claims keys and records responses.
 
-    Records that arrive while an append is under way go out together in the
-    next one (group commit), so appends per second are bounded by the log
-    service's latency and not by the number of requests.
+    Records created while an append is in flight are sent together in the next
+    one (group commit). The latency of the log service therefore bounds the
+    number of appends per second, whatever the number of requests.
 
     Attributes:
+        idle_period_s: Seconds between reads while no claim is pending.
+        entry_name: The entry's name in its records.
         state: The ``claims.State``.
-        append_calls: Append calls made, for the capacity page.
-        appended_records: Records written in them.
+        append_calls: Number of append calls, for the status page.
+        appended_records: Number of records sent in these calls.
+        has_start_offset: Whether the offset of the first read is known.
     """
 
     def __init__(self, log_addr, entry_name, period_s, ttl_s):
@@ -59,50 +69,65 @@
 
         Args:
             log_addr: ``(host, port)`` of the log service.
-            entry_name: Written into every record.
-            period_s: Seconds between reads while no claim is under way.
-            ttl_s: How long a key is remembered, s.
+            entry_name: The entry's name in its records.
+            period_s: Seconds between reads while no claim is pending.
+            ttl_s: Lifetime of a key in the ledger, s.
         """
         super().__init__(TICK_PERIOD_S, channel='ledger-watch')
         self.idle_period_s = period_s
-        self._read_at = -math.inf
+        self._last_read_at = -math.inf
         self._streams = streams.StreamClient(self, log_addr)
         self.entry_name = entry_name
         self.state = claims.State(ttl_s)
         self.append_calls = 0
         self.appended_records = 0
         self.has_start_offset = False
-        self._waiters = {}
-        self._abandoned = collections.OrderedDict()
-        self._out = collections.deque()
+        self._pending_claims = {}
+        self._abandoned_rids = collections.OrderedDict()
+        self._unsent = collections.deque()
         self._appending = False
-        self._seek = None
+        self._search_range = None
         self._log = logs.get('ledger')
 
-    # -- what jobs ask -------------------------------------------------------
+    # -- operations for jobs -------------------------------------------------
 
     def claim(self, key, rid, digest, done):
         """Claims ``key`` for request ``rid``.
 
-        Calls ``done(fence, exc)`` once: ``fence`` when ``rid`` won, else
-        ``exc``: ``errors.DuplicateRequestError`` with the recorded answer,
-        ``errors.InProgressError``, ``errors.OutcomeUnknownError``,
-        ``errors.KeyReusedError``, or ``errors.NotRunError`` when the claim
-        could not be made.
+        Calls ``done(fence, exc)`` once. If the claim succeeds, ``fence`` is
+        its fencing token and ``exc`` is None. Otherwise ``exc`` is an
+        ``errors.DuplicateRequestError`` with the recorded response, an
+        ``errors.InProgressError``, ``errors.OutcomeUnknownError`` or
+        ``errors.KeyReusedError``, or an ``errors.NotRunError`` if the claim
+        could not be written.
+
+        Args:
+            key: Idempotency key, prefixed with the customer.
+            rid: Request id.
+            digest: Digest of the request's payload.
+            done: Callback.
         """
         rec = self._record(claims.RecordKind.CLAIM, key, rid, digest=digest)
-        self._waiters[rid] = _Waiter(rec, done, time.monotonic())
-        self._send(rec)
+        self._pending_claims[rid] = _PendingClaim(rec, done, time.monotonic())
+        self._enqueue(rec)
 
     def release(self, key, rid):
-        """Gives back a won claim whose request was certainly not sent."""
-        self._send(self._record(claims.RecordKind.RELEASE, key, rid))
+        """Releases the claim of a request that was not sent to a replica."""
+        self._enqueue(self._record(claims.RecordKind.RELEASE, key, rid))
 
     def record_response(self, key, rid, status, reply):
-        """Records the answer, so that a repeated request gets the same."""
+        """Records the response, so that a repeated request gets the same.
+
+        Args:
+            key: Idempotency key, prefixed with the customer.
+            rid: Request id.
+            status: HTTP status of the response.
+            reply: JSON body of the response; a body of more than
+                ``MAX_RECORDED_RESPONSE_BYTES`` is not recorded.
+        """
         if len(msgspec.json.encode(reply)) > MAX_RECORDED_RESPONSE_BYTES:
             reply = None
-        self._send(
+        self._enqueue(
             self._record(claims.RecordKind.DONE,
                          key,
                          rid,
@@ -119,121 +144,124 @@
                              at=time.time(),
                              **more)
 
-    def _send(self, rec):
-        self._out.append(rec)
+    def _enqueue(self, rec):
+        self._unsent.append(rec)
         if not self._appending:
             self._append()
 
     def _append(self):
-        batch = list(self._out)
-        self._out.clear()
+        batch = list(self._unsent)
+        self._unsent.clear()
         self._appending = True
         self.append_calls += 1
         self.appended_records += len(batch)
         self._streams.append(STREAM, batch,
-                             lambda exc: self._appended(batch, exc))
+                             lambda exc: self._on_appended(batch, exc))
 
-    def _appended(self, batch, exc):
+    def _on_appended(self, batch, exc):
         self._appending = False
         if exc is None:
-            self._mark(batch, _Written.YES)
-            if self._out:
+            self._set_append_state(batch, _AppendState.YES)
+            if self._unsent:
                 self._append()
         else:
             self._log.warning('ledger_append_failed',
                               error=str(exc),
                               records=len(batch))
-            self._retry(batch, exc)
+            self._requeue_failed(batch, exc)
         if not self.busy:
             self.poll()
 
-    def _mark(self, batch, written):
+    def _set_append_state(self, batch, written):
         for rec in batch:
-            waiter = self._waiters.get(rec.rid)
-            if waiter is not None and rec is waiter.rec:
-                waiter.written = written
+            claim = self._pending_claims.get(rec.rid)
+            if claim is not None and rec is claim.rec:
+                claim.written = written
 
-    def _retry(self, batch, exc):
-        """Decides what becomes of records whose append failed.
+    def _requeue_failed(self, batch, exc):
+        """Queues records of a failed append again or abandons their claims.
 
-        A claim whose reply was lost may be in the stream: only reading to
-        its end tells. Other records are written again, which is harmless
-        twice. The next tick sends what is put back here.
+        If the log service sent no response, a claim may be in the stream;
+        only a read up to the stream's end can tell. Other records are
+        appended again, because duplicates of them have no effect. The next
+        tick sends the records that are queued here.
         """
         for rec in batch:
             if rec.kind is not claims.RecordKind.CLAIM or exc.busy:
-                if len(self._out) < MAX_PENDING_RECORDS:
-                    self._out.append(rec)
-            elif exc.not_run and rec.rid in self._waiters:
+                if len(self._unsent) < MAX_PENDING_RECORDS:
+                    self._unsent.append(rec)
+            elif exc.not_run and rec.rid in self._pending_claims:
                 self._abandon(rec.rid)
         if not exc.not_run:
-            self._mark(batch, _Written.LOST)
+            self._set_append_state(batch, _AppendState.LOST)
 
     # -- reading -------------------------------------------------------------
 
     def poll(self):
-        """Starts one read; see the class docstring."""
+        """Starts one read of the ledger stream."""
         self.busy = True
-        self._read_at = time.monotonic()
-        for waiter in self._waiters.values():
-            if waiter.written is _Written.LOST:
-                # Only a read that starts after the append was given up can
-                # tell that the record is missing.
-                waiter.written = _Written.CHECKING
-        if self._seek is None and not self.has_start_offset:
-            self._get(0, 0, self._found_bounds)
+        self._last_read_at = time.monotonic()
+        for claim in self._pending_claims.values():
+            if claim.written is _AppendState.LOST:
+                # Only a read that starts after the append failed can show
+                # that the record is missing.
+                claim.written = _AppendState.CHECKING
+        if self._search_range is None and not self.has_start_offset:
+            self._start_read(0, 0, self._on_bounds)
         else:
-            self._get(self.state.offset, MAX_RECORDS_PER_READ, self._read)
+            self._start_read(self.state.offset, MAX_RECORDS_PER_READ,
+                             self._on_page)
 
     def on_tick(self):
-        """Sends again what a failed append left."""
-        if self._out and not self._appending:
+        """Appends the records that a failed append left in the queue."""
+        if self._unsent and not self._appending:
             self._append()
 
     def is_due(self):
-        """Reads only for a claim, or now and then to keep up.
+        """Returns True if a claim is pending or the idle period has passed.
 
-        Reading the whole time cost five calls a second for nothing: a claim
-        reads up to the stream's end anyway before it is decided.
+        Without pending claims, reading on every tick would cost five calls
+        per second without benefit: a claim is resolved only after a read up
+        to the stream's end.
         """
-        idle_s = time.monotonic() - self._read_at
-        return bool(self._waiters) or idle_s >= self.idle_period_s
+        idle_s = time.monotonic() - self._last_read_at
+        return bool(self._pending_claims) or idle_s >= self.idle_period_s
 
-    def _get(self, start, limit, done):
+    def _start_read(self, start, limit, done):
         self._streams.read(STREAM, start, limit, done)
 
-    # A restarted entry needs only the claims younger than the lifetime, so
-    # it looks for the first such record by halving: reading a day's worth
-    # of records would keep it from claiming anything for minutes.
+    # A restarted entry needs only the claims younger than the key lifetime
+    # and finds the first of them by binary search. Reading a day's records
+    # instead would block claims for minutes.
 
-    def _found_bounds(self, page, exc):
+    def _on_bounds(self, page, exc):
         if exc is not None:
-            self._failed(exc)
+            self._on_read_failed(exc)
             return
-        self._seek = [page.start, page.end]
-        self._halve()
+        self._search_range = [page.start, page.end]
+        self._search_step()
 
-    def _halve(self):
-        low, high = self._seek
+    def _search_step(self):
+        low, high = self._search_range
         if high - low <= MAX_RECORDS_PER_READ:
             self.state.offset = low
             self.has_start_offset = True
-            self._get(low, MAX_RECORDS_PER_READ, self._read)
+            self._start_read(low, MAX_RECORDS_PER_READ, self._on_page)
             return
-        self._get((low + high) // 2, 1, self._probed)
+        self._start_read((low + high) // 2, 1, self._on_probe)
 
-    def _probed(self, page, exc):
+    def _on_probe(self, page, exc):
         if exc is not None or not page.records:
-            self._seek = None
-            self._failed(exc)
+            self._search_range = None
+            self._on_read_failed(exc)
             return
         rec = page.records[0]
-        young = self._written_at(rec) >= time.time() - 2 * self.state.ttl_s
-        self._seek[1 if young else 0] = rec.offset
-        self._halve()
+        recent = self._written_at(rec) >= time.time() - 2 * self.state.ttl_s
+        self._search_range[1 if recent else 0] = rec.offset
+        self._search_step()
 
     def _written_at(self, rec):
-        """Returns when a record was written, s (epoch); 0 if it is spoilt."""
+        """Returns when a record was written, s (epoch); 0 if malformed."""
         decoded = self._decode(rec)
         return decoded.at if decoded else 0.0
 
@@ -246,92 +274,104 @@
                             error=str(exc))
             return None
 
-    def _read(self, page, exc):
+    def _on_page(self, page, exc):
         if exc is not None:
-            self._failed(exc)
+            self._on_read_failed(exc)
             return
         if page.expired:
-            # The records between have expired; so have their claims.
+            # The skipped records have expired, and their claims with them.
             self._log.warning('ledger_gap',
                               offset=self.state.offset,
                               start=page.start)
             self.state.offset = page.start
-            self._get(self.state.offset, MAX_RECORDS_PER_READ, self._read)
+            self._start_read(self.state.offset, MAX_RECORDS_PER_READ,
+                             self._on_page)
             return
         self.last_success_at = time.time()
-        for raw in page.records:
-            self._apply(raw)
+        for stream_record in page.records:
+            self._apply(stream_record)
         at_end = self.state.offset >= page.end
-        self._settle(at_end)
-        if self._waiters_written() or not at_end:
+        self._expire_claims(at_end)
+        if self._has_appended_claim() or not at_end:
             self.poll()
             return
         self.busy = False
         self.state.drop_expired()
-        self._settle(False)
+        self._expire_claims(False)
 
-    def _apply(self, raw):
-        rec = self._decode(raw)
+    def _apply(self, stream_record):
+        rec = self._decode(stream_record)
         if rec is None:
-            self.state.offset = max(self.state.offset, raw.offset + 1)
+            self.state.offset = max(self.state.offset, stream_record.offset + 1)
             return
-        self.state.apply(raw.offset, rec, time.monotonic())
+        self.state.apply(stream_record.offset, rec, time.monotonic())
         if rec.kind is not claims.RecordKind.CLAIM:
             return
-        if rec.rid in self._waiters:
-            self._decide(self._waiters.pop(rec.rid))
-        elif self._abandoned.pop(rec.rid, None):
-            # Our append seemed lost, its caller was told "not run", and now
-            # the record turns up: left alone it would block the key (seen
-            # as in_progress for ever), so the claim is given back.
-            held = self.state.claims.get(rec.key)
-            if held is not None and held.rid == rec.rid:
+        if rec.rid in self._pending_claims:
+            self._resolve(self._pending_claims.pop(rec.rid))
+        elif self._abandoned_rids.pop(rec.rid, None):
+            # The append of this claim was considered lost and the caller
+            # received "not run", but the record is in the stream. The claim
+            # is released, as it would otherwise block the key: its retries
+            # would keep failing with in_progress.
+            current = self.state.claims.get(rec.key)
+            if current is not None and current.rid == rec.rid:
                 self.release(rec.key, rec.rid)
 
-    def _decide(self, waiter):
-        rec = waiter.rec
-        held = self.state.claims[rec.key]
-        if held.rid == rec.rid:
-            waiter.done(held.fence, None)
-        elif held.digest != rec.digest:
-            waiter.done(
+    def _resolve(self, claim):
+        rec = claim.rec
+        current = self.state.claims[rec.key]
+        if current.rid == rec.rid:
+            claim.done(current.fence, None)
+        elif current.digest != rec.digest:
+            claim.done(
                 None,
                 errors.KeyReusedError(
-                    f'key {rec.key!r} belongs to another request'))
-        elif held.status:
-            waiter.done(None,
-                        errors.DuplicateRequestError(held.status, held.reply))
-        elif time.monotonic() - held.seen_at < MAX_IN_PROGRESS_S:
-            waiter.done(None,
-                        errors.InProgressError(f'key {rec.key!r} is being run'))
+                    f'key {rec.key!r} was used for a different request'))
+        elif current.status:
+            claim.done(
+                None, errors.DuplicateRequestError(current.status,
+                                                   current.reply))
+        elif time.monotonic() - current.seen_at < MAX_IN_PROGRESS_S:
+            claim.done(
+                None,
+                errors.InProgressError(
+                    f'the request of key {rec.key!r} is in progress'))
         else:
-            waiter.done(
+            claim.done(
                 None,
                 errors.OutcomeUnknownError(
-                    f'key {rec.key!r} was claimed and never answered'))
+                    f'the request of key {rec.key!r} started, '
+                    'but no response was recorded'))
 
-    def _waiters_written(self):
-        return any(w.written in (_Written.YES, _Written.LOST)
-                   for w in self._waiters.values())
+    def _has_appended_claim(self):
+        return any(w.written in (_AppendState.YES, _AppendState.LOST)
+                   for w in self._pending_claims.values())
 
-    def _settle(self, at_end):
-        """Ends waiters whose claim is not in the stream or took too long."""
+    def _expire_claims(self, at_end):
+        """Abandons claims that are not in the stream or timed out.
+
+        Args:
+            at_end: Whether the stream was read up to its end.
+        """
         now = time.monotonic()
-        for rid, waiter in list(self._waiters.items()):
-            missing = at_end and waiter.written is _Written.CHECKING
-            if missing or now - waiter.since > CLAIM_TIMEOUT_S:
+        for rid, claim in list(self._pending_claims.items()):
+            is_missing = at_end and claim.written is _AppendState.CHECKING
+            if is_missing or now - claim.started_at > CLAIM_TIMEOUT_S:
                 self._abandon(rid)
 
     def _abandon(self, rid):
-        waiter = self._waiters.pop(rid)
-        self._abandoned[rid] = True
-        while len(self._abandoned) > MAX_PENDING_RECORDS:
-            self._abandoned.popitem(last=False)
-        if waiter.rec in self._out:
-            self._out.remove(waiter.rec)
-        waiter.done(None, errors.NotRunError('the key could not be claimed'))
-
-    def _failed(self, exc):
+        claim = self._pending_claims.pop(rid)
+        self._abandoned_rids[rid] = True
+        while len(self._abandoned_rids) > MAX_PENDING_RECORDS:
+            self._abandoned_rids.popitem(last=False)
+        if claim.rec in self._unsent:
+            self._unsent.remove(claim.rec)
+        claim.done(
+            None,
+            errors.NotRunError('the idempotency key could not be claimed'))
+
+    def _on_read_failed(self, exc):
         self._log.warning('ledger_read_failed', error=str(exc))
         self.busy = False
-        self._settle(False)
+        self._expire_claims(False)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -81,9 +81,9 @@
     """The search halves the stream by when records were written."""
     book = ledger.Ledger(ADDR, 'entry-a', 1.0, 60.0)
     asked = []
-    book._get = lambda start, limit, done: asked.append(start)
-    book._found_bounds(messages.StreamPage(0, 8000), None)
-    book._probed(
+    book._start_read = lambda start, limit, done: asked.append(start)
+    book._on_bounds(messages.StreamPage(0, 8000), None)
+    book._on_probe(
         messages.StreamPage(0, 8000, [messages.StreamRecord(4000, {})]), None)
     assert asked == [4000, 6000]
 
