--- a/gorsefall/entry/app.py
+++ b/gorsefall/entry/app.py
@@ -283,7 +283,7 @@
     def status(self):
         """Returns the status page for operators as a dict."""
         state = self.catalogue.state
-        wall, now = time.time(), time.monotonic()
+        wall_time, now = time.time(), time.monotonic()
         return {
             'entry': self.entry_name,
             'zone': self.cfg.entry.zone,
@@ -292,10 +292,14 @@
             'rank': self.fleet.shares.rank,
             'silent_peers': self._limiter.silent_peers,
             'catalogue': {
-                'version': state.version,
-                'offset': state.offset,
-                'classes': len(state.doc.classes),
-                'read_age_s': round(wall - self.catalogue.last_success_at, 2)
+                'version':
+                    state.version,
+                'offset':
+                    state.offset,
+                'classes':
+                    len(state.doc.classes),
+                'read_age_s':
+                    round(wall_time - self.catalogue.last_success_at, 2)
             },
             'replicas': [{
                 'name': r.name,
@@ -304,7 +308,7 @@
                 'state': r.state.value,
                 'inflight': r.inflight,
                 'others': sum(r.others),
-                'report_age_s': round(wall - r.reported_at, 2),
+                'report_age_s': round(wall_time - r.reported_at, 2),
                 'failures': r.failures,
                 'ejected_s': round(max(0.0, r.eject_until - now), 2),
                 'gap_ms': round(r.gap_s * 1000, 2)
--- a/gorsefall/entry/watchers.py
+++ b/gorsefall/entry/watchers.py
@@ -1,4 +1,4 @@
-"""Background tasks of an entry: the catalogue, the VM list, load reports."""
+"""Periodic reads of an entry: the catalogue, the VM list, load reports."""
 
 import math
 import random
@@ -23,16 +23,17 @@
 
 
 class Watcher(core.BaseComponent):
-    """Polls one thing every ``period_s``; at most one poll in flight.
+    """Polls a source every ``period_s``, with at most one poll in flight.
 
-    A poll that never answers would otherwise stop the watcher for good
-    (symptom: catalogue version stuck on one entry); the link's idle timeout
-    ends it and the next tick polls again.
+    A poll without a response ends with the idle timeout of its connection,
+    and the next tick starts another. Without that timeout, such a poll would
+    stop the watcher for good, for instance with the catalogue of one entry
+    stuck at an old version.
 
     Attributes:
         period_s: Seconds between polls.
         busy: Whether a poll is in flight.
-        last_success_at: When a poll last succeeded, s (epoch); 0 before.
+        last_success_at: Time of the last successful poll, s (epoch); 0 before.
     """
 
     def __init__(self, period_s, channel):
@@ -53,20 +54,21 @@
             self.poll()
 
     def is_due(self):
-        """Whether a tick should start a poll."""
+        """Returns True if a tick should start a poll."""
         return True
 
     def on_tick(self):
-        """Called on every tick; for work that does not wait for a poll."""
+        """Called on every tick, also while a poll is in flight."""
 
     def poll(self):
-        """Starts one poll; subclasses set ``busy`` and clear it when done."""
+        """Starts a poll; subclasses set ``busy`` and clear it at its end."""
 
 
 class CatalogueWatch(Watcher):
-    """Tails the catalogue stream and applies it in offset order.
+    """Tails the catalogue stream and applies its records in offset order.
 
     Attributes:
+        snapshot_s: Time without a new snapshot after which one is added, s.
         state: The ``catalogue.State`` in force on this entry.
     """
 
@@ -76,7 +78,7 @@
         Args:
             log_addr: ``(host, port)`` of the log service.
             period_s: Seconds between reads.
-            snapshot_s: Age at which the newest snapshot is renewed, s.
+            snapshot_s: Time without a new snapshot after which one is added, s.
             on_change: Called with the new ``State`` after each version.
         """
         super().__init__(period_s, channel='catalogue-watch')
@@ -84,41 +86,42 @@
         self.snapshot_s = snapshot_s
         self.state = catalogue.State(keep=1)
         self._on_change = on_change
-        self._snapshot_end = -1
-        self._snapshot_due = 0.0
+        self._last_snapshots_end = -1
+        self._snapshot_check_at = 0.0
         self._log = logs.get('catalogue')
 
     @property
     def in_force(self):
-        """The ``catalogue.State`` in force, None before the first."""
+        """The ``catalogue.State`` in force; None before the first version."""
         return self.state if self.state.version else None
 
     def poll(self):
-        """Starts one read; see the class docstring."""
+        """Starts one read of the catalogue stream."""
         self.busy = True
         self._streams.read(publish.STREAM, self.state.offset,
-                           MAX_RECORDS_PER_READ, self._read)
+                           MAX_RECORDS_PER_READ, self._on_read_done)
 
-    def _read(self, page, exc):
+    def _on_read_done(self, page, exc):
         if exc is None and page.expired:
-            # Retention expired the records we needed (after a long pause,
-            # or at a fresh start): begin from the newest snapshot.
-            self._streams.read(publish.SNAPSHOTS, 0, 0, self._find_snapshot)
+            # The next records were removed by the log's retention, at a first
+            # start or after a long pause. Start from the newest snapshot.
+            self._streams.read(publish.SNAPSHOTS, 0, 0,
+                               self._on_snapshot_bounds)
             return
         self.busy = False
         if exc is not None:
             self._log.warning('catalogue_read_failed', error=str(exc))
             return
         self.last_success_at = time.time()
-        for rec in page.records:
-            if self.state.apply(rec.offset, rec.data):
-                self._adopted()
+        for record in page.records:
+            if self.state.apply(record.offset, record.data):
+                self._on_new_state()
         if len(page.records) == MAX_RECORDS_PER_READ:
             self.poll()
-        elif time.monotonic() >= self._snapshot_due and self.state.version:
-            self._check_snapshot()
+        elif time.monotonic() >= self._snapshot_check_at and self.state.version:
+            self._check_for_snapshot()
 
-    def _adopted(self):
+    def _on_new_state(self):
         metrics.CATALOGUE_VERSION.set(self.state.version)
         self._log.info('catalogue_in_force',
                        version=self.state.version,
@@ -128,74 +131,75 @@
 
     # -- starting from a snapshot ----------------------------------------------
 
-    def _find_snapshot(self, page, exc):
+    def _on_snapshot_bounds(self, page, exc):
         if exc is not None or not page.end:
-            self._no_snapshot(exc)
+            self._log_no_snapshot(exc)
             return
         start = max(page.start, page.end - 1)
-        self._streams.read(publish.SNAPSHOTS, start, 1, self._restore)
+        self._streams.read(publish.SNAPSHOTS, start, 1, self._on_snapshot)
 
-    def _restore(self, page, exc):
+    def _on_snapshot(self, page, exc):
         if exc is not None or not page.records:
-            self._no_snapshot(exc)
+            self._log_no_snapshot(exc)
             return
         try:
-            snap = msgspec.convert(page.records[-1].data, catalogue.Snapshot)
-        except msgspec.ValidationError as bad:
-            self._no_snapshot(bad)
+            snapshot = msgspec.convert(page.records[-1].data,
+                                       catalogue.Snapshot)
+        except msgspec.ValidationError as decode_error:
+            self._log_no_snapshot(decode_error)
             return
-        if not self.state.restore(snap):
-            self._no_snapshot(None)
+        if not self.state.restore(snapshot):
+            self._log_no_snapshot(None)
             return
-        self._adopted()
+        self._on_new_state()
         self.poll()
 
-    def _no_snapshot(self, exc):
+    def _log_no_snapshot(self, exc):
         self.busy = False
         self._log.error('catalogue_no_snapshot',
                         offset=self.state.offset,
                         error=str(exc))
 
-    # -- keeping a fresh snapshot ----------------------------------------------
+    # -- renewing the snapshot -------------------------------------------------
 
-    # The log keeps records for a limited time. With no change for longer,
-    # the catalogue itself would expire: entries that run would not notice,
-    # entries that start would find nothing (noticed as readyz staying 503
-    # after a restart). So whichever entry first sees that no snapshot was
-    # added for ``snapshot_s`` adds one; the random delay makes it one entry
-    # as a rule, and a second snapshot is harmless.
+    # The log retains records for a limited time. A catalogue without changes
+    # for longer than that would expire: running entries would not be
+    # affected, but restarted entries would find no catalogue, and their
+    # readyz would stay at 503. Therefore the first entry to observe that no
+    # snapshot was added for ``snapshot_s`` adds one. The random delay makes
+    # this usually a single entry; a second snapshot does no harm.
 
-    def _check_snapshot(self):
-        self._snapshot_due = time.monotonic() + self.snapshot_s * (
+    def _check_for_snapshot(self):
+        self._snapshot_check_at = time.monotonic() + self.snapshot_s * (
             1 + random.random())
         self.busy = True
-        self._streams.read(publish.SNAPSHOTS, 0, 0, self._maybe_snapshot)
+        self._streams.read(publish.SNAPSHOTS, 0, 0, self._append_if_unchanged)
 
-    def _maybe_snapshot(self, page, exc):
+    def _append_if_unchanged(self, page, exc):
         self.busy = False
         if exc is not None:
             return
-        fresh = page.end != self._snapshot_end
-        self._snapshot_end = page.end
-        if fresh and page.end > 0:
+        is_renewed = page.end != self._last_snapshots_end
+        self._last_snapshots_end = page.end
+        if is_renewed and page.end > 0:
             return
-        self._snapshot_end += 1
+        self._last_snapshots_end += 1
         self._streams.append(publish.SNAPSHOTS, [self.state.snapshot()],
-                             self._snapshot_written)
+                             self._on_snapshot_appended)
 
-    def _snapshot_written(self, exc):
+    def _on_snapshot_appended(self, exc):
         self._log.info('catalogue_snapshot',
                        version=self.state.version,
                        error=str(exc) if exc else None)
 
 
 class MembershipWatch(Watcher):
-    """Follows the platform's VM list: replicas and the other entries.
+    """Reads the replicas and the other entries from the platform's VM list.
 
-    The list lags; a leaving replica gets no new work from the poll that
-    first shows it, so the delay is lag + ``period_s`` at most. A replica
-    that was shown and is shown no more is gone. While the list cannot be
-    read, what it last said stays in force.
+    The list lags. A leaving replica gets no new requests after the first
+    poll that lists it as leaving, at most the lag plus ``period_s`` later. A
+    replica that is no longer listed counts as down. While the list is
+    unavailable, its last contents apply.
     """
 
     def __init__(self, vm_addr, fleet, period_s):
@@ -203,7 +207,7 @@
 
         Args:
             vm_addr: ``(host, port)`` of the VM list, or None.
-            fleet: The ``fleet.Fleet`` to keep up to date.
+            fleet: The ``fleet.Fleet`` to update.
             period_s: Seconds between reads.
         """
         super().__init__(period_s, channel='membership-watch')
@@ -212,88 +216,94 @@
         self._log = logs.get('membership')
 
     def poll(self):
-        """Starts one read; see the class docstring."""
+        """Starts one read of the VM list."""
         if self.vm_addr is None:
             return
         self.busy = True
-        links.fetch_json(self, self.vm_addr, 'GET', '/vms', done=self._read)
+        links.fetch_json(self,
+                         self.vm_addr,
+                         'GET',
+                         '/vms',
+                         done=self._on_read_done)
 
-    def _read(self, status, obj, exc):
+    def _on_read_done(self, status, obj, exc):
         self.busy = False
         if exc is not None or status != 200 or obj is None:
             self._log.warning('vm_list_failed', status=status, error=str(exc))
             return
         try:
             vms = msgspec.convert(obj, list[messages.VmEntry])
-        except msgspec.ValidationError as bad:
-            self._log.error('vm_list_malformed', error=str(bad))
+        except msgspec.ValidationError as decode_error:
+            self._log.error('vm_list_malformed', error=str(decode_error))
             return
         self.last_success_at = time.time()
         self.fleet.update(vms)
 
 
 class LoadWatch(Watcher):
-    """Reads replicas' load reports into their ``routing.Replica``.
-
-    A replica with requests of ours is asked every period, an idle one every
-    ``IDLE_POLL_PERIODS``, at most ``max_polls_per_s`` in all, the one asked
-    longest ago first: what an entry spends on this does not grow with the
-    number of replicas. Each replica is asked on its own; waiting for a
-    whole round let one frozen replica hold up all reports for 2 s.
+    """Reads the replicas' load reports into their ``routing.Replica``.
+
+    A replica with requests of this entry is polled every period, an idle one
+    every ``IDLE_POLL_PERIODS``. The total is limited to ``max_polls_per_s``,
+    and the replica polled longest ago comes first, so that the cost does not
+    grow with the number of replicas. Each replica is polled independently:
+    if polls waited for a whole round, one unresponsive replica would delay
+    all reports by 2 s.
     """
 
-    def __init__(self, fleet, entry_name, period_s, max_polls_per_s,
-                 on_reports):
+    def __init__(self, fleet, entry_name, period_s, max_polls_per_s, on_report):
         """Creates the watcher.
 
         Args:
-            fleet: The ``fleet.Fleet`` whose replicas are read.
-            entry_name: This entry's name in the reports.
-            period_s: Seconds between reads of a busy replica.
-            max_polls_per_s: Most reads a second.
-            on_reports: Called after each report.
+            fleet: The ``fleet.Fleet`` whose replicas are polled.
+            entry_name: This entry's name in the load reports.
+            period_s: Seconds between polls of a busy replica.
+            max_polls_per_s: Maximum number of polls per second.
+            on_report: Called with the replica's pool after each poll.
         """
         super().__init__(period_s, channel='load-watch')
         self.fleet = fleet
         self.entry_name = entry_name
         self.max_polls_per_s = max_polls_per_s
-        self._on_reports = on_reports
-        self._asked = {}
-        self._open = set()
+        self._on_report = on_report
+        self._last_polled_at = {}
+        self._in_flight = set()
 
     def poll(self):
-        """Asks the replicas that are due; see the class docstring."""
+        """Polls the replicas that are due."""
         now = time.monotonic()
         live = {
             r.name: r
             for r in self.fleet.replicas.values()
             if r.state is not routing.ReplicaState.DOWN
         }
-        self._asked = {n: at for n, at in self._asked.items() if n in live}
+        self._last_polled_at = {
+            n: at for n, at in self._last_polled_at.items() if n in live
+        }
         due = [r for r in live.values() if self._is_due(r, now)]
-        due.sort(key=lambda r: self._asked.get(r.name, 0.0))
+        due.sort(key=lambda r: self._last_polled_at.get(r.name, 0.0))
         for replica in due[:max(1, int(self.max_polls_per_s * self.period_s))]:
-            self._asked[replica.name] = now
-            self._open.add(replica.name)
+            self._last_polled_at[replica.name] = now
+            self._in_flight.add(replica.name)
             links.fetch_json(self,
                              replica.addr,
                              'GET',
                              '/load',
                              idle_s=LOAD_IDLE_TIMEOUT_S,
-                             done=self._reader(replica))
+                             done=self._report_handler(replica))
 
     def _is_due(self, replica, now):
-        if replica.name in self._open:
+        if replica.name in self._in_flight:
             return False
-        age = now - self._asked.get(replica.name, -math.inf)
-        # The timer itself is a little late or early.
+        age = now - self._last_polled_at.get(replica.name, -math.inf)
+        # Half a period of tolerance, as ticks are slightly early or late.
         return replica.inflight > 0 or age >= (IDLE_POLL_PERIODS -
                                                0.5) * self.period_s
 
-    def _reader(self, replica):
+    def _report_handler(self, replica):
 
         def done(status, obj, exc):
-            self._open.discard(replica.name)
+            self._in_flight.discard(replica.name)
             if exc is None and status == 200:
                 report = msgspec.convert(obj, messages.LoadReport)
                 replica.others = report.others(self.entry_name)
@@ -301,6 +311,6 @@
                 replica.record_report()
             elif exc is not None:
                 replica.record_missed_report(time.monotonic())
-            self._on_reports(replica.pool)
+            self._on_report(replica.pool)
 
         return done
--- a/tests/test_load_watch.py
+++ b/tests/test_load_watch.py
@@ -1,11 +1,9 @@
-"""Reading load reports: what a missed report means, and for how long.
-
-Symptom: just after a start a request was answered 502 (three engines had
-failed) while a fourth engine was sound. Sequence: an entry asks an engine
-for its load before the engine listens; the refused connection sends the
-engine into a pause; the engine listens; three others crash their answers
-while the pause lasts, so the sound one is never asked. Cause: the pause
-outlived the reason for it, since no later report ended it.
+"""Load reports: how a missed report affects a replica, and for how long.
+
+A load poll that is refused because an engine does not listen yet ejects the
+engine for a while. The next report must end that ejection. Otherwise a
+request fails with 502 when three other engines crash during the ejection,
+although the ejected engine is healthy.
 """
 
 import msgspec
@@ -18,9 +16,9 @@
 REFUSED = errors.LinkError('connection refused')
 
 
-def _watch(rep):
-    watch = watchers.LoadWatch(None, 'entry-a', 0.2, 20, lambda pool: None)
-    return watch._reader(rep)
+def _report_callback(replica):
+    watcher = watchers.LoadWatch(None, 'entry-a', 0.2, 20, lambda pool: None)
+    return watcher._report_handler(replica)
 
 
 def _replica():
@@ -32,30 +30,30 @@
                                                    at=1.0))
 
 
-def test_a_report_ends_the_pause_of_a_missed_report():
-    rep = _replica()
-    read = _watch(rep)
-    read(None, None, REFUSED)
-    assert rep.eject_until > 0
-    read(200, _report(), None)
-    assert rep.eject_until == 0
-    assert rep.failures == 0
-
-
-def test_a_report_does_not_end_the_pause_of_a_failed_request():
-    rep = _replica()
-    read = _watch(rep)
-    read(None, None, REFUSED)
-    rep.record_failure(1000.0)
-    until = rep.eject_until
-    read(200, _report(), None)
-    assert rep.eject_until == until
-
-
-def test_only_the_first_missed_report_pauses():
-    rep = _replica()
-    read = _watch(rep)
-    read(None, None, REFUSED)
-    until = rep.eject_until
-    read(None, None, REFUSED)
-    assert rep.eject_until == until
+def test_a_report_ends_the_ejection_after_a_missed_report():
+    replica = _replica()
+    on_report = _report_callback(replica)
+    on_report(None, None, REFUSED)
+    assert replica.eject_until > 0
+    on_report(200, _report(), None)
+    assert replica.eject_until == 0
+    assert replica.failures == 0
+
+
+def test_a_report_does_not_end_the_ejection_after_a_failed_request():
+    replica = _replica()
+    on_report = _report_callback(replica)
+    on_report(None, None, REFUSED)
+    replica.record_failure(1000.0)
+    eject_until = replica.eject_until
+    on_report(200, _report(), None)
+    assert replica.eject_until == eject_until
+
+
+def test_only_the_first_missed_report_ejects():
+    replica = _replica()
+    on_report = _report_callback(replica)
+    on_report(None, None, REFUSED)
+    eject_until = replica.eject_until
+    on_report(None, None, REFUSED)
+    assert replica.eject_until == eject_until
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,10 +1,8 @@
-"""Reading the shared log: what cannot be read must not stop the reader.
+"""Reading the shared log: malformed responses must not stop the watcher.
 
-Symptom: an entry stays at its old catalogue, or never gets ready, though the
-log service answers again. Sequence: one answer is no page, or the newest
-snapshot is spoilt; decoding raises in the callback; the reader counts as busy
-from then on and never asks again. Cause: answers were taken for what they
-should be.
+If decoding a malformed page or snapshot raises in the callback, the watcher
+stays busy and never polls again: the entry keeps an old catalogue or never
+becomes ready, although the log service is available again.
 """
 
 import pytest
@@ -33,7 +31,7 @@
     assert page.records == [messages.StreamRecord(3, {})]
 
 
-def test_an_expired_offset_is_no_failure():
+def test_an_expired_offset_is_no_error():
     page = streamprotocol.decode_page(410, {
         'start': 3,
         'end': 5,
@@ -59,40 +57,43 @@
         'error': 'gone'
     }, None),
 ])
-def test_what_is_no_page_is_a_failure(status, obj, exc):
+def test_a_response_that_is_no_page_is_an_error(status, obj, exc):
     with pytest.raises(errors.LogServiceError):
         streamprotocol.decode_page(status, obj, exc)
 
 
-def test_a_spoilt_snapshot_leaves_the_reader_free():
+def test_a_malformed_snapshot_leaves_the_watcher_idle():
     watch = _catalogue()
-    spoilt = messages.StreamRecord(4, {'version': 'four'})
-    watch._restore(messages.StreamPage(4, 5, [spoilt]), None)
+    malformed = messages.StreamRecord(4, {'version': 'four'})
+    watch._on_snapshot(messages.StreamPage(4, 5, [malformed]), None)
     assert not watch.busy and watch.in_force is None
 
 
-def test_a_failed_read_leaves_the_reader_free():
+def test_a_failed_read_leaves_the_watcher_idle():
     watch = _catalogue()
-    watch._read(None, errors.LogServiceError('unreadable answer'))
+    watch._on_read_done(None, errors.LogServiceError('malformed response'))
     assert not watch.busy
 
 
-def test_a_spoilt_record_does_not_stop_the_search_for_young_claims():
-    """The search halves the stream by when records were written."""
-    book = ledger.Ledger(ADDR, 'entry-a', 1.0, 60.0)
-    asked = []
-    book._start_read = lambda start, limit, done: asked.append(start)
-    book._on_bounds(messages.StreamPage(0, 8000), None)
-    book._on_probe(
+def test_a_malformed_record_does_not_stop_the_search_for_recent_claims():
+    """The ledger finds recent claims by binary search over write times."""
+    claim_ledger = ledger.Ledger(ADDR, 'entry-a', 1.0, 60.0)
+    offsets = []
+    claim_ledger._start_read = lambda start, limit, done: offsets.append(start)
+    claim_ledger._on_bounds(messages.StreamPage(0, 8000), None)
+    claim_ledger._on_probe(
         messages.StreamPage(0, 8000, [messages.StreamRecord(4000, {})]), None)
-    assert asked == [4000, 6000]
+    assert offsets == [4000, 6000]
 
 
 @pytest.mark.parametrize('status', ['200 OK', '502 Bad Gateway'])
-def test_the_blocking_client_takes_no_page_for_a_failure(status):
-    """Symptom: a traceback instead of an error at the command line. Sequence:
-    something before the log service answers with a page of its own. Cause:
-    only what came with a success was read as JSON under guard."""
+def test_the_blocking_client_reports_a_response_without_json(status):
+    """A proxy in front of the log service may send an HTML page.
+
+    Its status may be a success or an error. In both cases decoding must not
+    raise anything but a LogServiceError, which the command line reports
+    without a traceback.
+    """
     page = b'<html>gone</html>'
     peer = peers.ScriptedPeer([[
         f'HTTP/1.1 {status}\r\nContent-Length: {len(page)}\r\n\r\n'.encode() +
