--- a/gorsefall/entry/api.py
+++ b/gorsefall/entry/api.py
@@ -1,4 +1,4 @@
-"""The entry's HTTP routes: OpenAI-compatible, plain services, operators."""
+"""The entry's HTTP routes: OpenAI API, plain services, operations."""
 
 import math
 import time
@@ -17,7 +17,7 @@
 
 
 class ChatBody(msgspec.Struct, kw_only=True):
-    """The part of an OpenAI chat request the entry reads."""
+    """The fields of an OpenAI chat request that the entry uses."""
     messages: list[dict]
     model: str = 'default'
     max_tokens: int | None = None
@@ -26,7 +26,7 @@
 
 
 class CompletionBody(msgspec.Struct, kw_only=True):
-    """The part of an OpenAI completion request the entry reads."""
+    """The fields of an OpenAI completion request that the entry uses."""
     prompt: str | list[str]
     model: str = 'default'
     max_tokens: int | None = None
@@ -34,34 +34,46 @@
     user: str = ''
 
 
-def _who(req, user):
-    """Returns ``(customer, class)`` from headers or ``user="cust/class"``."""
+def _customer_and_class(req, user):
+    """Returns ``(customer, class)`` of a request.
+
+    Args:
+        req: The circuits.web request.
+        user: The body's ``user`` field; ``CUSTOMER/CLASS`` is used if the
+            headers ``X-Customer`` and ``X-Class`` are not both set.
+
+    Raises:
+        errors.BadRequestError: The customer or the class is missing.
+    """
     customer = req.headers.get('X-Customer', '')
     klass = req.headers.get('X-Class', '')
     if (not customer or not klass) and '/' in user:
         customer, _, klass = user.partition('/')
     if not customer or not klass:
-        raise errors.BadRequestError('name the customer and class: headers '
-                                     'X-Customer and X-Class, or user="c/k"')
+        raise errors.BadRequestError(
+            'customer or class missing: set the headers '
+            'X-Customer and X-Class, or '
+            'user="CUSTOMER/CLASS"')
     return customer, klass
 
 
 def _deadline(req):
-    """Returns the caller's deadline, s (monotonic); infinite when none."""
+    """Returns the caller's deadline, s (monotonic); infinity without one."""
     text = req.headers.get('X-Deadline-Ms')
     if text is None:
         return math.inf
     try:
         left_ms = float(text)
     except ValueError as exc:
-        raise errors.BadRequestError('X-Deadline-Ms: not a number') from exc
+        raise errors.BadRequestError('X-Deadline-Ms is not a number') from exc
     if not 0 < left_ms < math.inf:
-        raise errors.BadRequestError('X-Deadline-Ms: must be over 0')
+        raise errors.BadRequestError(
+            'X-Deadline-Ms must be positive and finite')
     return time.monotonic() + left_ms / 1000.0
 
 
-class _Routes(web.Controller):
-    """Shared helpers of the entry's controllers."""
+class _EntryController(web.Controller):
+    """Base class of the entry's controllers."""
 
     def __init__(self, entry, *args, **kwargs):
         super().__init__(*args, **kwargs)
@@ -69,27 +81,29 @@
 
     def _build_request(self, kind, user='', **fields):
         req = self.request
-        customer, name = _who(req, user)
+        customer, name = _customer_and_class(req, user)
         klass = self.entry.lookup_class(customer, name)
         key = req.headers.get('Idempotency-Key', '')
         if len(key) > MAX_IDEMPOTENCY_KEY_CHARS:
             raise errors.BadRequestError(
-                f'Idempotency-Key: over {MAX_IDEMPOTENCY_KEY_CHARS} characters')
-        not_rep = req.headers.get('X-Not-Repeatable', '').lower() in TRUE_VALUES
+                'Idempotency-Key exceeds '
+                f'{MAX_IDEMPOTENCY_KEY_CHARS} characters')
+        non_repeatable = req.headers.get('X-Not-Repeatable',
+                                         '').lower() in TRUE_VALUES
         return kind(
             rid=jobs.new_rid(),
             customer=customer,
             klass=klass,
-            # A key means nothing outside its customer: two customers
-            # may choose the same one and must not meet.
+            # The customer is part of the key: two customers may choose the
+            # same key for different requests.
             key=f'{customer}/{key}' if key else '',
-            repeatable=klass.repeatable and not not_rep,
+            repeatable=klass.repeatable and not non_repeatable,
             deadline=_deadline(req),
             **fields)
 
-    def _text(self, kind, body, prompt):
+    def _submit_text(self, kind, body, prompt):
         if body.max_tokens is not None and body.max_tokens < 1:
-            raise errors.BadRequestError('max_tokens: must be at least 1')
+            raise errors.BadRequestError('max_tokens must be at least 1')
         return self._submit(
             self._build_request(kind,
                                 body.user,
@@ -104,7 +118,7 @@
         return True
 
 
-class V1(_Routes):
+class V1(_EntryController):
     """``/v1``: completions, models and plain services."""
     channel = '/v1'
 
@@ -115,10 +129,10 @@
         prompt = body.prompt
         if not isinstance(prompt, str):
             prompt = '\n'.join(prompt)
-        return self._text(jobs.CompletionRequest, body, prompt)
+        return self._submit_text(jobs.CompletionRequest, body, prompt)
 
     def models(self):
-        """GET /v1/models: the pools' models, OpenAI-shaped."""
+        """GET /v1/models: the pools as models, in OpenAI format."""
         data = [{
             'id': p,
             'object': 'model',
@@ -130,19 +144,19 @@
         })
 
     def services(self, pool=None, op=None, *args, **kwargs):
-        """POST /v1/services/POOL/OP: a plain-service call, JSON args."""
-        args_obj = replies.read_json(self.request, self.entry.max_body_bytes)
+        """POST /v1/services/POOL/OP: a service call with JSON arguments."""
+        call_args = replies.read_json(self.request, self.entry.max_body_bytes)
         caller_request = self._build_request(jobs.ServiceRequest,
                                              op=op or '',
-                                             args=args_obj)
+                                             args=call_args)
         if caller_request.klass.pool != pool:
             raise errors.UnknownClassError(
-                f'class {caller_request.klass.name} is not for '
+                f'class {caller_request.klass.name} does not belong to '
                 f'pool {pool}')
         return self._submit(caller_request)
 
 
-class Chat(_Routes):
+class Chat(_EntryController):
     """``/v1/chat``: chat completions."""
     channel = '/v1/chat'
 
@@ -151,38 +165,38 @@
         body = replies.read_json(self.request, self.entry.max_body_bytes,
                                  ChatBody)
         prompt = '\n'.join(str(m.get('content', '')) for m in body.messages)
-        return self._text(jobs.ChatRequest, body, prompt)
+        return self._submit_text(jobs.ChatRequest, body, prompt)
 
 
-class Peer(_Routes):
-    """``/peer``: what entries ask each other."""
+class Peer(_EntryController):
+    """``/peer``: requests of the other entries."""
     channel = '/peer'
 
     def usage(self):
-        """GET /peer/usage: what this entry uses of the limits."""
+        """GET /peer/usage: this entry's usage of the shared limits."""
         return replies.json_body(self.response, self.entry.usage())
 
 
-class Ops(_Routes):
-    """``/``: health, readiness, metrics and the operators' status page."""
+class Ops(_EntryController):
+    """``/``: health, readiness, metrics and the status page."""
     channel = '/'
 
     def healthz(self):
-        """Alive: the process answers."""
+        """GET /healthz: 200 while the process responds."""
         return replies.json_body(self.response, {'ok': True})
 
     def readyz(self):
-        """Ready for new work: 503 while draining or without a catalogue."""
+        """GET /readyz: 503 while draining or without a catalogue."""
         ok = self.entry.is_ready()
         return replies.json_body(self.response, {'ready': ok},
                                  200 if ok else 503)
 
     def metrics(self):
-        """Prometheus text format."""
+        """GET /metrics: metrics in Prometheus text format."""
         body, ctype = metrics.render()
         self.response.headers['Content-Type'] = ctype
         return body
 
     def status(self):
-        """What an operator checks first: catalogue, replicas, queues."""
+        """GET /status: catalogue, replicas and queues, for operators."""
         return replies.json_body(self.response, self.entry.status())
--- a/gorsefall/entry/dispatch.py
+++ b/gorsefall/entry/dispatch.py
@@ -1,4 +1,4 @@
-"""Which kind of job runs which kind of request."""
+"""Selects the job class for the type of a request."""
 
 import functools
 
@@ -9,12 +9,21 @@
 
 @functools.singledispatch
 def create_job(request, app, ticket, reply):
-    """Returns the ``jobs.Job`` that runs ``request``.
+    """Creates the job for a request.
+
+    Args:
+        request: The ``jobs.CallerRequest``.
+        app: The ``app.Entry``.
+        ticket: Its ``admission.Ticket``.
+        reply: The ``replies.DeferredReply`` to the caller.
+
+    Returns:
+        A ``jobs.Job``.
 
     Raises:
-        TypeError: No kind of job is registered for it.
+        TypeError: No job class is registered for the request's type.
     """
-    raise TypeError(f'no job for {type(request).__name__}')
+    raise TypeError(f'no job class for {type(request).__name__}')
 
 
 @create_job.register
--- a/gorsefall/entry/openai.py
+++ b/gorsefall/entry/openai.py
@@ -1,4 +1,4 @@
-"""OpenAI-shaped bodies of text answers, whole and streamed."""
+"""OpenAI-compatible bodies of text responses, complete and streamed."""
 
 import functools
 import time
@@ -8,10 +8,10 @@
 SSE_CONTENT_TYPE = 'text/event-stream'
 
 
-def _envelope(request, obj, choice):
+def _envelope(request, object_type, choice):
     return {
         'id': request.rid,
-        'object': obj,
+        'object': object_type,
         'created': int(time.time()),
         'model': request.model,
         'choices': [choice]
@@ -20,18 +20,18 @@
 
 @functools.singledispatch
 def chunk(request, text, reason=None, first=False):
-    """Returns one streamed chunk as a dict.
+    """Returns one chunk of a streamed response as a dict.
 
     Args:
-        request: The ``jobs.TextRequest`` being answered.
+        request: The ``jobs.TextRequest`` that is processed.
         text: Generated text, or None in the last chunk.
-        reason: Finish reason, in the last chunk only.
-        first: Whether this is the answer's first chunk.
+        reason: Finish reason; None except in the last chunk.
+        first: Whether this is the response's first chunk.
 
     Raises:
-        TypeError: The kind of request has no streamed form.
+        TypeError: Requests of this type cannot be streamed.
     """
-    raise TypeError(f'no chunk for {type(request).__name__}')
+    raise TypeError(f'cannot stream a response to {type(request).__name__}')
 
 
 @chunk.register
@@ -57,28 +57,35 @@
 
 
 @functools.singledispatch
-def _whole_choice(request, text):
-    raise TypeError(f'no answer for {type(request).__name__}')
+def _response_choice(request, text):
+    raise TypeError(f'no response format for {type(request).__name__}')
 
 
-@_whole_choice.register
+@_response_choice.register
 def _(request: jobs.ChatRequest, text):
     del request
     message = {'role': 'assistant', 'content': text}
     return 'chat.completion', {'index': 0, 'message': message}
 
 
-@_whole_choice.register
+@_response_choice.register
 def _(request: jobs.CompletionRequest, text):
     del request
     return 'text_completion', {'index': 0, 'text': text}
 
 
 def full_response(request, text, reason, tokens):
-    """Returns a whole answer of ``tokens`` generated tokens as a dict."""
-    obj, choice = _whole_choice(request, text)
+    """Returns the body of a complete response as a dict.
+
+    Args:
+        request: The ``jobs.TextRequest`` that is processed.
+        text: Generated text.
+        reason: Finish reason.
+        tokens: Number of generated tokens.
+    """
+    object_type, choice = _response_choice(request, text)
     choice['finish_reason'] = reason
-    body = _envelope(request, obj, choice)
+    body = _envelope(request, object_type, choice)
     prompt_tokens = len(request.prompt.split())
     body['usage'] = {
         'prompt_tokens': prompt_tokens,
