--- a/gorsefall/entry/peers.py
+++ b/gorsefall/entry/peers.py
@@ -1,4 +1,4 @@
-"""What the other entries use of the limits, read from each in turn."""
+"""Polls the other entries for their usage of the shared limits."""
 
 import collections
 import math
@@ -18,11 +18,11 @@
 
 
 class PeerWatch(watchers.Watcher):
-    """Polls each peer's usage and keeps ``limits.Limits`` up to date.
+    """Polls each peer's usage and updates the ``limits.Limits``.
 
-    A peer that does not answer counts as using its whole part of every
-    limit after ``MAX_AGE_S``: a partition makes entries cautious, never
-    generous.
+    A peer without a report within ``MAX_REPORT_AGE_S`` counts as using its
+    whole share of every limit, so that entries never exceed a limit because
+    of a network partition.
     """
 
     def __init__(self, fleet, limiter, period_s):
@@ -30,37 +30,38 @@
 
         Args:
             fleet: The ``fleet.Fleet``, for the peers' addresses.
-            limiter: The ``limits.Limits`` to keep up to date.
-            period_s: Seconds between rounds.
+            limiter: The ``limits.Limits`` to update.
+            period_s: Seconds between polls of all peers.
         """
         super().__init__(period_s, channel='peer-watch')
         self.fleet = fleet
         self.limiter = limiter
         self._reports = {}
-        self._pending = 0
-        self._asked_at = -math.inf
+        self._polls_in_flight = 0
+        self._last_poll_at = -math.inf
         self._log = logs.get('peers')
 
     def is_due(self):
-        """While this entry uses no limit, peers are asked less often.
+        """Returns True if the peers should be polled on this tick.
 
-        Not asking at all made the first second of every burst meet the
-        fixed shares, as nothing was known of the peers.
+        While this entry uses no limit, peers are polled less often. Without
+        any polls in that time, the peers' usage would be unknown in the first
+        second of a burst, and only the fixed shares could be used.
         """
-        unheard = self.fleet.peers.keys() - self._reports.keys()
-        if unheard or self.limiter.report(time.monotonic()):
+        unknown_peers = self.fleet.peers.keys() - self._reports.keys()
+        if unknown_peers or self.limiter.report(time.monotonic()):
             return True
-        idle_s = time.monotonic() - self._asked_at
+        idle_s = time.monotonic() - self._last_poll_at
         return idle_s >= (IDLE_POLL_PERIODS - 0.5) * self.period_s
 
     def poll(self):
-        """Asks every peer once."""
+        """Polls every peer once."""
         peers = self.fleet.peers
-        self._asked_at = time.monotonic()
+        self._last_poll_at = time.monotonic()
         self._reports = {
             n: r for n, r in self._reports.items() if n in self.fleet.peers
         }
-        self._pending = len(peers)
+        self._polls_in_flight = len(peers)
         self.busy = bool(peers)
         for name, addr in peers.items():
             links.fetch_json(self,
@@ -68,15 +69,15 @@
                              'GET',
                              '/peer/usage',
                              idle_s=IDLE_TIMEOUT_S,
-                             done=self._reader(name))
+                             done=self._response_handler(name))
         if not peers:
-            self._sum_up()
+            self._update_limiter()
 
-    def _reader(self, name):
+    def _response_handler(self, name):
 
         def done(status, obj, exc):
-            self._pending -= 1
-            self.busy = self._pending > 0
+            self._polls_in_flight -= 1
+            self.busy = self._polls_in_flight > 0
             if exc is None and status == 200:
                 report = msgspec.convert(obj, messages.PeerUsage)
                 self._reports[name] = (time.monotonic(), report)
@@ -86,11 +87,11 @@
                                   status=status,
                                   error=str(exc))
             if not self.busy:
-                self._sum_up()
+                self._update_limiter()
 
         return done
 
-    def _sum_up(self):
+    def _update_limiter(self):
         now = time.monotonic()
         total = collections.defaultdict(limits.Usage)
         fresh = [
--- a/gorsefall/entry/streams.py
+++ b/gorsefall/entry/streams.py
@@ -1,4 +1,4 @@
-"""The entry's one client of the log service."""
+"""The entry's client of the log service."""
 
 from gorsefall import errors
 from gorsefall import replies
@@ -6,35 +6,39 @@
 from gorsefall.net import links
 
 READ_IDLE_TIMEOUT_S = 5.0
-"""Silence after which a read is given up, s: a page of 1,000 records takes a
-few ms, and what waits for it bears no longer."""
+"""Idle timeout of a read, s.
+
+A page of 1,000 records takes a few ms, and the requests that wait for it
+tolerate no longer delay."""
 
 APPEND_IDLE_TIMEOUT_S = 1.5
-"""The same for an append, s: half of what a claim may take, so that one that
-was lost can still be looked for."""
+"""Idle timeout of an append, s.
+
+It is half of the ledger's claim timeout, so that time is left to search the
+stream for a record whose append failed."""
 
 
 class StreamClient:
-    """Reads and appends records; answers come to a callback.
+    """Reads and appends records; results are passed to a callback.
 
-    ``done`` is called once, never before the method has returned.
+    The callback ``done`` is called once, after the method has returned.
     """
 
-    def __init__(self, mgr, addr):
+    def __init__(self, component, addr):
         """Creates a client.
 
         Args:
-            mgr: Any component of the process's running circuits tree.
+            component: Any component of the process's running circuits tree.
             addr: ``(host, port)`` of the log service.
         """
-        self._mgr = mgr
+        self._component = component
         self._addr = addr
 
     def read(self, stream, start, limit, done):
-        """Reads up to ``limit`` records from offset ``start`` on.
+        """Reads up to ``limit`` records, starting at offset ``start``.
 
-        ``done(page, exc)`` gets a ``messages.StreamPage`` or an
-        ``errors.LogServiceError``.
+        Calls ``done(page, exc)`` with a ``messages.StreamPage`` and None, or
+        with None and an ``errors.LogServiceError``.
         """
 
         def on_reply(*reply):
@@ -45,7 +49,7 @@
             else:
                 done(page, None)
 
-        links.fetch_json(self._mgr,
+        links.fetch_json(self._component,
                          self._addr,
                          'GET',
                          streamprotocol.read_path(stream, start, limit),
@@ -53,10 +57,10 @@
                          done=on_reply)
 
     def append(self, stream, records, done):
-        """Appends ``records``, msgspec structs.
+        """Appends ``records``, a list of msgspec structs.
 
-        ``done(exc)`` gets None or an ``errors.LogServiceError``; unless that
-        says ``not_run``, the records may have been written.
+        Calls ``done(exc)`` with None or an ``errors.LogServiceError``. Unless
+        the error's ``not_run`` is set, the records may have been written.
         """
 
         def on_reply(status, obj, exc):
@@ -70,7 +74,7 @@
                                        busy=not_run and
                                        status == streamprotocol.BUSY_STATUS))
 
-        links.fetch_json(self._mgr,
+        links.fetch_json(self._component,
                          self._addr,
                          'POST',
                          streamprotocol.append_path(stream),
