--- a/gorsefall/entry/servicejobs.py
+++ b/gorsefall/entry/servicejobs.py
@@ -1,4 +1,4 @@
-"""Plain-service calls: repeated only where that is safe."""
+"""Calls of plain services, retried only where a second run is safe."""
 
 import time
 
@@ -9,22 +9,22 @@
 from gorsefall.net import links
 
 OK_STATUS = 200
-SERVER_ERROR = 500
+MIN_SERVER_ERROR_STATUS = 500
 
 
 class ServiceJob(jobs.Job):
-    """Calls a plain service for one ``jobs.ServiceAsk``."""
+    """Executes one ``jobs.ServiceRequest``."""
 
-    def send(self, rep):
+    def send(self, replica):
         """See ``jobs.Job.send``."""
-        body = messages.ServiceCall(id=self.ask.rid,
+        body = messages.ServiceCall(id=self.request.rid,
                                     entry=self.app.entry_name,
-                                    op=self.ask.op,
-                                    args=self.ask.args,
-                                    key=self.ask.key,
+                                    op=self.request.op,
+                                    args=self.request.args,
+                                    key=self.request.key,
                                     fence=self.fence)
         self.call = links.fetch_json(self.app,
-                                     rep.addr,
+                                     replica.addr,
                                      'POST',
                                      '/call',
                                      body,
@@ -32,30 +32,31 @@
                                      idle_s=self.app.cfg.entry.link_idle_s)
 
     def _on_end(self, status, obj, exc):
-        rep = self.rep
-        whole = exc is None and obj is not None
-        refused = whole and replies.reports_not_run(obj)
-        self.attempt_over(reached=self.call is None or self.call.sent,
-                          refused=refused)
+        replica = self.replica
+        complete = exc is None and obj is not None
+        refused = complete and replies.reports_not_run(obj)
+        self.end_attempt(reached=self.call is None or self.call.sent,
+                         refused=refused)
         if self.done:
             return
-        if whole and status < SERVER_ERROR and not refused:
-            rep.record_success()
-            self._answer(status, obj)
+        if complete and status < MIN_SERVER_ERROR_STATUS and not refused:
+            replica.record_success()
+            self._send_response(status, obj)
             return
-        rep.record_failure(time.monotonic())
-        why = str(exc or status)
+        replica.record_failure(time.monotonic())
+        reason = str(exc or status)
         self.log.warning('service_attempt_failed',
-                         replica=rep.name,
+                         replica=replica.name,
                          status=status,
                          error=str(exc),
                          refused=refused)
-        self.retry_or_fail(errors.BackendFailedError(f'service failed: {why}'),
-                           why)
+        self.retry_or_fail(
+            errors.BackendFailedError(
+                f'the call to the service failed: {reason}'), reason)
 
-    def _answer(self, status, obj):
-        self.first_token(time.monotonic())
-        self.answered(obj, status)
+    def _send_response(self, status, obj):
+        self.record_first_token(time.monotonic())
+        self.record_response(obj, status)
         self.reply.json(obj, status)
         self.close(jobs.Outcome.OK.value if status ==
                    OK_STATUS else jobs.Outcome.REFUSED.value)
