--- a/gorsefall/entry/api.py
+++ b/gorsefall/entry/api.py
@@ -51,9 +51,8 @@
         customer, _, klass = user.partition('/')
     if not customer or not klass:
         raise errors.BadRequestError(
-            'customer or class missing: set the headers '
-            'X-Customer and X-Class, or '
-            'user="CUSTOMER/CLASS"')
+            'name the customer and class: headers X-Customer and X-Class, '
+            'or user="c/k"')
     return customer, klass
 
 
@@ -65,10 +64,9 @@
     try:
         left_ms = float(text)
     except ValueError as exc:
-        raise errors.BadRequestError('X-Deadline-Ms is not a number') from exc
+        raise errors.BadRequestError('X-Deadline-Ms: not a number') from exc
     if not 0 < left_ms < math.inf:
-        raise errors.BadRequestError(
-            'X-Deadline-Ms must be positive and finite')
+        raise errors.BadRequestError('X-Deadline-Ms: must be over 0')
     return time.monotonic() + left_ms / 1000.0
 
 
@@ -86,7 +84,7 @@
         key = req.headers.get('Idempotency-Key', '')
         if len(key) > MAX_IDEMPOTENCY_KEY_CHARS:
             raise errors.BadRequestError(
-                'Idempotency-Key exceeds '
+                'Idempotency-Key: over '
                 f'{MAX_IDEMPOTENCY_KEY_CHARS} characters')
         non_repeatable = req.headers.get('X-Not-Repeatable',
                                          '').lower() in TRUE_VALUES
@@ -103,7 +101,7 @@
 
     def _submit_text(self, kind, body, prompt):
         if body.max_tokens is not None and body.max_tokens < 1:
-            raise errors.BadRequestError('max_tokens must be at least 1')
+            raise errors.BadRequestError('max_tokens: must be at least 1')
         return self._submit(
             self._build_request(kind,
                                 body.user,
@@ -151,7 +149,7 @@
                                              args=call_args)
         if caller_request.klass.pool != pool:
             raise errors.UnknownClassError(
-                f'class {caller_request.klass.name} does not belong to '
+                f'class {caller_request.klass.name} is not for '
                 f'pool {pool}')
         return self._submit(caller_request)
 
--- a/gorsefall/entry/app.py
+++ b/gorsefall/entry/app.py
@@ -106,11 +106,9 @@
         if klass is not None:
             return klass
         if any(k.owner == customer for k in state.doc.classes):
-            raise errors.UnknownClassError(
-                f'customer {customer!r} has no class {name!r}')
+            raise errors.UnknownClassError(f'{customer} has no class {name!r}')
         raise errors.UnknownCustomerError(
-            f'customer {customer!r} owns no class in catalogue version '
-            f'{state.version}')
+            f'no customer {customer!r} in catalogue v{state.version}')
 
     def _limit_scopes(self, klass):
         scopes = [(klass.key, klass.rate_per_s, klass.concurrency)]
@@ -164,10 +162,9 @@
         now = time.monotonic()
         if not self.shutdown.accepts_requests(now):
             raise errors.DrainingError(
-                'the entry is shutting down; retry at another entry')
+                'entry is shutting down; retry elsewhere')
         if request.klass.pool not in self.fleet.pools:
-            raise errors.NoReplicaError(
-                f'this entry has no replicas of pool {request.klass.pool!r}')
+            raise errors.NoReplicaError(f'no pool {request.klass.pool!r} here')
         ticket = admission.Ticket(rid=request.rid,
                                   tier=request.klass.tier,
                                   arrived=now,
@@ -184,9 +181,9 @@
         for dropped in shed:
             self._refuse(
                 dropped,
-                errors.ShedError(
-                    'dropped from the queue by a request of a higher tier',
-                    retry_after=retry_delay.after_queue_s(adm.served_time_s)))
+                errors.ShedError('pushed out by a higher tier',
+                                 retry_after=retry_delay.after_queue_s(
+                                     adm.served_time_s)))
         metrics.QUEUED.labels(request.klass.pool).set(len(adm.waiting()))
         if verdict is admission.Verdict.RUN:
             job.start()
@@ -253,10 +250,9 @@
             for ticket in adm.expire(now):
                 self._refuse(
                     ticket,
-                    errors.DeadlineError(
-                        'the deadline expired while the request was queued',
-                        retry_after=retry_delay.after_queue_s(
-                            adm.served_time_s)))
+                    errors.DeadlineError('its deadline passed while it waited',
+                                         retry_after=retry_delay.after_queue_s(
+                                             adm.served_time_s)))
             served = {
                 rid: self.jobs[rid].last_progress_at for rid in adm.running
             }
--- a/gorsefall/entry/jobs.py
+++ b/gorsefall/entry/jobs.py
@@ -238,10 +238,9 @@
         pool = self.request.klass.pool
         if self.attempts.in_doubt:
             return errors.BackendFailedError(
-                f'{len(self.attempts.replicas)} replicas of pool {pool} failed '
-                'and no other replica is available')
-        return errors.NoReplicaError(
-            f'no replica of pool {pool} accepts requests')
+                f'{len(self.attempts.replicas)} replicas of {pool} failed; '
+                'none is left')
+        return errors.NoReplicaError(f'no replica of {pool} takes requests')
 
     def send(self, replica):
         """Starts a call to ``replica``.
--- a/gorsefall/entry/ledger.py
+++ b/gorsefall/entry/ledger.py
@@ -327,22 +327,19 @@
             claim.done(
                 None,
                 errors.KeyReusedError(
-                    f'key {rec.key!r} was used for a different request'))
+                    f'key {rec.key!r} belongs to another request'))
         elif current.status:
             claim.done(
                 None, errors.DuplicateRequestError(current.status,
                                                    current.reply))
         elif time.monotonic() - current.seen_at < MAX_IN_PROGRESS_S:
-            claim.done(
-                None,
-                errors.InProgressError(
-                    f'the request of key {rec.key!r} is in progress'))
+            claim.done(None,
+                       errors.InProgressError(f'key {rec.key!r} is being run'))
         else:
             claim.done(
                 None,
                 errors.OutcomeUnknownError(
-                    f'the request of key {rec.key!r} started, '
-                    'but no response was recorded'))
+                    f'key {rec.key!r} was claimed and never answered'))
 
     def _has_appended_claim(self):
         return any(w.written in (_AppendState.YES, _AppendState.LOST)
@@ -367,9 +364,7 @@
             self._abandoned_rids.popitem(last=False)
         if claim.rec in self._unsent:
             self._unsent.remove(claim.rec)
-        claim.done(
-            None,
-            errors.NotRunError('the idempotency key could not be claimed'))
+        claim.done(None, errors.NotRunError('the key could not be claimed'))
 
     def _on_read_failed(self, exc):
         self._log.warning('ledger_read_failed', error=str(exc))
--- a/gorsefall/entry/servicejobs.py
+++ b/gorsefall/entry/servicejobs.py
@@ -51,8 +51,7 @@
                          error=str(exc),
                          refused=refused)
         self.retry_or_fail(
-            errors.BackendFailedError(
-                f'the call to the service failed: {reason}'), reason)
+            errors.BackendFailedError(f'service failed: {reason}'), reason)
 
     def _send_response(self, status, obj):
         self.record_first_token(time.monotonic())
--- a/gorsefall/entry/textjobs.py
+++ b/gorsefall/entry/textjobs.py
@@ -90,9 +90,7 @@
                        delivered=self.tokens)
         self.call.cancel()
         self.stop_backend(self.replica)
-        self._on_end(
-            errors.LinkError(
-                f'{self.replica.name} sent tokens out of sequence'))
+        self._on_end(errors.LinkError(f'{self.replica.name} out of step'))
 
     def _deliver(self, event):
         now = time.monotonic()
@@ -128,7 +126,7 @@
                          tokens=self.tokens)
         self.retry_or_fail(
             errors.BackendFailedError(
-                f'{len(self.attempts.replicas)} engines failed after '
+                f'{len(self.attempts.replicas)} engines failed; '
                 f'{self.tokens} tokens were delivered'), str(exc))
 
     def _finish(self, reason):
