--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -30,11 +30,14 @@
 from gorsefall import settingsfile
 from gorsefall.standins import launch
 
-BASE = 18900
-LOG, VMS, ENGINES, ENTRY = BASE, BASE + 1, BASE + 2, BASE + 20
+BASE_PORT = 18900
+LOG_PORT, VM_LIST_PORT, FIRST_ENGINE_PORT, FIRST_ENTRY_PORT = (BASE_PORT,
+                                                               BASE_PORT + 1,
+                                                               BASE_PORT + 2,
+                                                               BASE_PORT + 20)
 SETTLE_S = 3.0
 SAMPLE_S = 6.0
-SERVICE_WORDS = 20
+PROMPT_WORDS = 20
 
 
 def _addr(port):
@@ -56,7 +59,7 @@
 
 
 @contextlib.contextmanager
-def site(replicas=4, entries=1, peers=0, doc=None, **entry_cfg):
+def run_site(replicas=4, entries=1, peers=0, doc=None, **entry_cfg):
     """Starts a site; yields ``(log address, [entry address], [Process])``.
 
     Args:
@@ -68,31 +71,35 @@
     """
     with tempfile.TemporaryDirectory() as tmp:
         root = pathlib.Path(tmp)
-        lines = [f'log log {_addr(LOG)}', f'vmlist vmlist {_addr(VMS)}']
-        lines += [f'engine e{i} {_addr(ENGINES + i)}' for i in range(4)]
-        lines.append(f'service s0 {_addr(ENGINES + 4)}')
+        lines = [
+            f'log log {_addr(LOG_PORT)}', f'vmlist vmlist {_addr(VM_LIST_PORT)}'
+        ]
+        lines += [
+            f'engine e{i} {_addr(FIRST_ENGINE_PORT + i)}' for i in range(4)
+        ]
+        lines.append(f'service s0 {_addr(FIRST_ENGINE_PORT + 4)}')
         (root / 'standins.txt').write_text('\n'.join(lines))
         backends = [{
             'name': f'r{i}',
             'kind': 'engine',
             'pool': 'llm',
             'zone': 'z',
-            'addr': _addr(ENGINES + i % 4)
+            'addr': _addr(FIRST_ENGINE_PORT + i % 4)
         } for i in range(replicas)]
         backends.append({
             'name': 's0',
             'kind': 'service',
             'pool': 'svc',
             'zone': 'z',
-            'addr': _addr(ENGINES + 4)
+            'addr': _addr(FIRST_ENGINE_PORT + 4)
         })
         for i in range(entries):
             cfg = {
                 'name': f'entry-{i}',
                 'zone': 'z',
-                'listen': _addr(ENTRY + i),
-                'log_service': _addr(LOG),
-                'vm_list': _addr(VMS),
+                'listen': _addr(FIRST_ENTRY_PORT + i),
+                'log_service': _addr(LOG_PORT),
+                'vm_list': _addr(VM_LIST_PORT),
                 'slots_per_replica': 1000,
                 **entry_cfg
             }
@@ -106,13 +113,13 @@
             'service': ['slots=1000', 'work_ms=5.0'],
             'log': ['appends_per_s=100000']
         }
-        with launch.processes(root, root / 'logs', opts=opts) as procs:
+        with launch.run_processes(root, root / 'logs', opts=opts) as procs:
             for i in range(peers):
-                launch.list_vm(_addr(VMS),
-                               name=f'peer-{i}',
-                               addr=_addr(ENTRY),
-                               role='entry')
-            log = settingsfile.split_addr(_addr(LOG))
+                launch.set_vm(_addr(VM_LIST_PORT),
+                              name=f'peer-{i}',
+                              addr=_addr(FIRST_ENTRY_PORT),
+                              role='entry')
+            log = settingsfile.split_addr(_addr(LOG_PORT))
             publish.publish(log, doc or _doc(10, 2))
             cfgs = [settings.load(p) for p in sorted(root.glob('entry-*.toml'))]
             listens = [c.entry.listen for c in cfgs]
@@ -159,7 +166,7 @@
     """Idle cost against replicas known."""
     out = {}
     for n in (4, 16, 64, 256):
-        with site(replicas=n) as (_, addrs, procs):
+        with run_site(replicas=n) as (_, addrs, procs):
             out[n] = idle_cost(addrs[0], procs[0])
     return out
 
@@ -168,7 +175,7 @@
     """Idle cost against entries known."""
     out = {}
     for n in (0, 6, 24):
-        with site(peers=n) as (_, addrs, procs):
+        with run_site(peers=n) as (_, addrs, procs):
             out[n] = idle_cost(addrs[0], procs[0])
     return out
 
@@ -185,7 +192,7 @@
     out = {}
     for x in (1, 4):
         cfg = {k: v * x for k, v in periods.items()}
-        with site(peers=6, **cfg) as (_, addrs, procs):
+        with run_site(peers=6, **cfg) as (_, addrs, procs):
             out[x] = idle_cost(addrs[0], procs[0])
     return out
 
@@ -195,7 +202,7 @@
     out = {}
     for n in (10, 500, 2000, 6000):
         doc = _doc(n // 5, 5)
-        with site(doc=doc) as (log, addrs, procs):
+        with run_site(doc=doc) as (log, addrs, procs):
             row = idle_cost(addrs[0], procs[0])
             doc.classes[0].rate_per_s = 7.0
             cpu, sent = _cpu_s(procs[0]), link_bytes(addrs[0])
@@ -226,9 +233,9 @@
                       pool='svc',
                       op='charge',
                       max_tokens=60,
-                      prompt_words=SERVICE_WORDS)
+                      prompt_words=PROMPT_WORDS)
     return bench.Scenario(name=f'{kind} {rate}/s',
-                          site='',
+                          run_site='',
                           catalogue='',
                           duration_s=duration_s,
                           streams=[st])
@@ -237,7 +244,8 @@
 def _load(kind, rates):
     out = {}
     for rate in rates:
-        with site() as (_, addrs, procs), tempfile.TemporaryDirectory() as tmp:
+        with run_site() as (_, addrs,
+                            procs), tempfile.TemporaryDirectory() as tmp:
             sc = _scenario(rate, kind)
             path = pathlib.Path(tmp) / 'catalogue.toml'
             path.write_text(catalogue.to_toml(_doc(10, 2)))
@@ -270,7 +278,8 @@
 
 
 def _stats():
-    with urllib.request.urlopen(f'http://{_addr(LOG)}/stats', timeout=5) as res:
+    with urllib.request.urlopen(f'http://{_addr(LOG_PORT)}/stats',
+                                timeout=5) as res:
         return {'appends': 0, 'records': 0, **json.load(res)}
 
 
--- a/bench/compare.py
+++ b/bench/compare.py
@@ -97,7 +97,7 @@
         addrs = standin_addrs(site)
         logs = ROOT / 'out' / 'logs' / policy
         shutil.rmtree(logs, ignore_errors=True)
-        with launch.processes(site, logs, opts=sc.standin_opts) as ps:
+        with launch.run_processes(site, logs, opts=sc.standin_opts) as ps:
             log = settingsfile.split_addr(cfgs[0].entry.log_service)
             publish.publish(log, catalogue.load(ROOT / sc.catalogue))
             listens = [c.entry.listen for c in cfgs]
@@ -115,14 +115,14 @@
             return rep
 
 
-def merge(reps):
+def median_report(reps):
     """Returns the median over repeated runs of each number of a report."""
     first = reps[0]
     if isinstance(first, dict):
         keys = set.union(*(set(r) for r in reps))
-        return {k: merge([r[k] for r in reps if k in r]) for k in keys}
+        return {k: median_report([r[k] for r in reps if k in r]) for k in keys}
     if isinstance(first, list):
-        return [merge(list(items)) for items in zip(*reps, strict=True)]
+        return [median_report(list(items)) for items in zip(*reps, strict=True)]
     if isinstance(first, (int, float)):
         return statistics.median(r for r in reps if r is not None)
     return first
@@ -188,7 +188,7 @@
     for _ in range(args.repeat):
         for policy in policies:
             runs[policy].append(run_policy(sc, policy))
-    reps = [merge(runs[p]) for p in policies]
+    reps = [median_report(runs[p]) for p in policies]
     for rep in reps:
         print(f"== {rep['label']}")
         print(bench.table(rep))
--- a/bench/days.py
+++ b/bench/days.py
@@ -16,10 +16,10 @@
 
 import tomli_w
 
-TROUBLES_FILE = pathlib.Path(__file__).with_name('troubles.toml')
+FAULTS_FILE = pathlib.Path(__file__).with_name('troubles.toml')
 
 
-class Trouble(typing.NamedTuple):
+class Fault(typing.NamedTuple):
     """One trouble of a day.
 
     Attributes:
@@ -31,11 +31,11 @@
 
 
 def _troubles(section):
-    rows = tomllib.loads(TROUBLES_FILE.read_text(encoding='utf-8'))[section]
-    return [Trouble(row.pop('kind'), row) for row in rows]
+    rows = tomllib.loads(FAULTS_FILE.read_text(encoding='utf-8'))[section]
+    return [Fault(row.pop('kind'), row) for row in rows]
 
 
-FIRST_S, SECOND_S = 8.0, 9.5
+FIRST_FAULT_AT_S, SECOND_FAULT_AT_S = 8.0, 9.5
 """When the trouble and the one beside it begin, s of traffic."""
 
 _PLANNED = ('roll_term', 'release', 'scale_in', 'config_storm', 'big_config',
@@ -51,8 +51,8 @@
     return day
 
 
-MIXED_AT_S = (0.5, 29.0)
-MIXED_TROUBLES = (3, 6)
+MIXED_START_RANGE_S = (0.5, 29.0)
+MIXED_FAULT_COUNT_RANGE = (3, 6)
 """When the troubles of a mixed day begin, s of traffic, and how many."""
 
 
@@ -67,27 +67,29 @@
     path.write_text(tomli_w.dumps(day), encoding='utf-8')
 
 
-def alone_and_paired(base, folder):
+def write_single_and_paired(base, folder):
     """Writes the days of one trouble and of one beside another."""
     others = _troubles('beside')
     for i, trouble in enumerate(_troubles('trouble')):
         beside = others[i % len(others)]
         name = f'{i:02d}-{trouble.kind}'
-        _write(folder, _day(base, name, [(FIRST_S, trouble)]))
+        _write(folder, _day(base, name, [(FIRST_FAULT_AT_S, trouble)]))
         _write(
             folder,
-            _day(base, f'{name}-pair', [(FIRST_S, trouble),
-                                        (SECOND_S, beside)]))
+            _day(base, f'{name}-pair', [(FIRST_FAULT_AT_S, trouble),
+                                        (SECOND_FAULT_AT_S, beside)]))
 
 
-def mixed(base, folder, days, seed):
+def write_mixed(base, folder, days, seed):
     """Writes days of several troubles at random."""
     known = _troubles('trouble')
     for i in range(days):
         rng = random.Random(f'{seed}-{i}')
-        troubles = [(round(rng.uniform(*MIXED_AT_S), 1), rng.choice(known))
-                    for _ in range(rng.randint(*MIXED_TROUBLES))]
-        troubles.append((round(rng.uniform(*MIXED_AT_S), 1), troubles[0][1]))
+        troubles = [(round(rng.uniform(*MIXED_START_RANGE_S),
+                           1), rng.choice(known))
+                    for _ in range(rng.randint(*MIXED_FAULT_COUNT_RANGE))]
+        troubles.append((round(rng.uniform(*MIXED_START_RANGE_S),
+                               1), troubles[0][1]))
         _write(
             folder,
             _day(base, f'mixed-{seed}-{i:02d}',
@@ -104,9 +106,9 @@
     args = parser.parse_args()
     base = _quiet_day(args.site_file)
     if args.mixed:
-        mixed(base, args.folder, args.mixed, args.seed)
+        write_mixed(base, args.folder, args.mixed, args.seed)
     else:
-        alone_and_paired(base, args.folder)
+        write_single_and_paired(base, args.folder)
 
 
 if __name__ == '__main__':
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -16,11 +16,11 @@
 
 from gorsefall import loglines
 
-SPAN_S = 2.0
+ROW_SPAN_S = 2.0
 """Length of a row, s: shorter than any trouble of the days, long enough for
 twenty requests of a kind."""
 
-ROUTES = 6
+MAX_ROUTES = 6
 """Routes shown, the busiest: the others only try the configuration."""
 
 
@@ -42,34 +42,34 @@
     return line.code or line.outcome
 
 
-def by_route(lines, out):
+def print_by_route(lines, out):
     """Prints a row for each route and span, a column for each end."""
     cells = collections.defaultdict(collections.Counter)
     firsts = collections.defaultdict(list)
     for at, line in lines:
         if isinstance(line, loglines.Answered):
-            cell = Cell(line.route or '-', int(at // SPAN_S))
+            cell = Cell(line.route or '-', int(at // ROW_SPAN_S))
             cells[cell][_ended(line)] += 1
             if line.outcome == 'served' and line.first_ms is not None:
                 firsts[cell].append(line.first_ms)
     sizes = collections.Counter()
     for cell, row in cells.items():
         sizes[cell.route] += row.total()
-    busiest = {name for name, _ in sizes.most_common(ROUTES)}
+    busiest = {name for name, _ in sizes.most_common(MAX_ROUTES)}
     cells = {c: row for c, row in cells.items() if c.route in busiest}
     ends = sorted({end for row in cells.values() for end in row})
     print('route from_s first_ms first_max', *ends, file=out)
     for cell in sorted(cells):
         times = firsts[cell] or [0.0]
         print(cell.route,
-              cell.span * SPAN_S,
+              cell.span * ROW_SPAN_S,
               round(statistics.median(times)),
               round(max(times)),
               *(cells[cell][end] for end in ends),
               file=out)
 
 
-def by_replica(lines, out):
+def print_by_replica(lines, out):
     """Prints for each replica and span the sends and when answers began."""
     sends = {}
     cells = collections.defaultdict(list)
@@ -78,7 +78,7 @@
             sends[line.rid] = (at, line)
         elif isinstance(line, loglines.Answered) and line.rid in sends:
             began, sent = sends.pop(line.rid)
-            cell = (sent.service, sent.replica, int(began // SPAN_S))
+            cell = (sent.service, sent.replica, int(began // ROW_SPAN_S))
             cells[cell].append((sent, line))
     print(
         'service replica from_s sends first_ms first_max own others queue_ms '
@@ -88,7 +88,7 @@
         firsts = [a.first_ms for _, a in pairs if a.first_ms is not None]
         print(service,
               replica,
-              span * SPAN_S,
+              span * ROW_SPAN_S,
               len(pairs),
               round(statistics.median(firsts or [0.0])),
               round(max(firsts or [0.0])),
@@ -100,7 +100,7 @@
               file=out)
 
 
-_WAYS = {'route': by_route, 'replica': by_replica}
+_WAYS = {'route': print_by_route, 'replica': print_by_replica}
 
 
 def main(argv=None):
--- a/bench/peers_cost.py
+++ b/bench/peers_cost.py
@@ -22,10 +22,10 @@
 on the deployments of 9 and 87 entries, and at the size of two years hence,
 where an entry has 16 requests a second that take a second."""
 
-ROUNDS = 4000
+MESSAGES_PER_SIZE = 4000
 """Messages of a measurement: some 0.2 s."""
 
-FIRSTS = {'model-desk': 27, 'records-desk': 9}
+FIRST_ATTEMPTS = {'model-desk': 27, 'records-desk': 9}
 """Requests of one entry in the retry window, by service."""
 
 
@@ -55,14 +55,14 @@
     receiver.bind(('127.0.0.1', 0))
     addr = receiver.getsockname()
     making = sending = 0.0
-    for seq in range(ROUNDS):
+    for seq in range(MESSAGES_PER_SIZE):
         began = time.process_time()
         data = messages.encode(
             speaker.build_status(1,
                                  seq,
                                  targets.values(),
                                  0.0,
-                                 first_attempts=FIRSTS,
+                                 first_attempts=FIRST_ATTEMPTS,
                                  known_hosts=hosts))
         made = time.process_time()
         sender.sendto(data, addr)
@@ -72,7 +72,9 @@
         sending += time.process_time() - made
     sender.close()
     receiver.close()
-    return len(data), making * 1000 / ROUNDS, sending * 1000 / ROUNDS
+    return len(
+        data
+    ), making * 1000 / MESSAGES_PER_SIZE, sending * 1000 / MESSAGES_PER_SIZE
 
 
 def main():
--- a/bench/relay_capacity.py
+++ b/bench/relay_capacity.py
@@ -3,7 +3,7 @@
 Usage: python bench/relay_capacity.py
 
 One real entry process against the stand-ins of the platform, on loopback.
-Processor time is the process's own, over ``REST_S`` or a batch of requests.
+Processor time is the process's own, over ``IDLE_S`` or a batch of requests.
 """
 
 import os
@@ -21,8 +21,8 @@
 from gorsefall.standins import ports  # noqa: E402
 from gorsefall.standins import waiting  # noqa: E402
 
-REST_S = 5.0
-BATCH = 400
+IDLE_S = 5.0
+REQUESTS_PER_KIND = 400
 TICKS_PER_S = os.sysconf('SC_CLK_TCK')
 
 
@@ -43,7 +43,7 @@
 
 def measure(replicas, routes):
     """Prints one row: an entry with so many replica records and routes."""
-    with ports.free() as take, tempfile.TemporaryDirectory() as tmp:
+    with ports.allocator() as take, tempfile.TemporaryDirectory() as tmp:
         site = standin.Site(tmp, take)
         plain = site.add('p1', 'plain')
         site.add('e1', 'pool')
@@ -70,22 +70,23 @@
     pid = site.proc.pid
     time.sleep(1.0)
     before, calls = cpu_s(pid), sum(site.store.calls.values())
-    time.sleep(REST_S)
-    rest = (cpu_s(pid) - before) / REST_S
-    calls = (sum(site.store.calls.values()) - calls) / REST_S
+    time.sleep(IDLE_S)
+    rest = (cpu_s(pid) - before) / IDLE_S
+    calls = (sum(site.store.calls.values()) - calls) / IDLE_S
     row = [
         f'replicas {replicas}', f'routes {routes}', f'rest {rest:.2%}',
         f'{calls:.1f} calls/s'
     ]
     for kind, path in (('plain', '/i/x'), ('stream', '/s/x')):
         before = cpu_s(pid)
-        for i in range(BATCH):
+        for i in range(REQUESTS_PER_KIND):
             reply = wire_callers.send_request(site.callers,
                                               path,
                                               f'{kind}{i}',
                                               body=b'x')
             assert reply.status == 200, reply
-        row.append(f'{kind} {(cpu_s(pid) - before) / BATCH * 1000:.2f} ms')
+        row.append(
+            f'{kind} {(cpu_s(pid) - before) / REQUESTS_PER_KIND * 1000:.2f} ms')
     row.append(f'{rss_mb(pid):.1f} MB')
     print('  '.join(row), flush=True)
 
--- a/bench/series.py
+++ b/bench/series.py
@@ -11,9 +11,9 @@
 import json
 import pathlib
 
-PREFIX = 'series: '
+REASON_PREFIX = 'series: '
 POLICIES = ('product', 'before', 'leastload', 'roundrobin')
-KINDS = {
+KINDS_BY_SITE = {
     'kasa-gorsefall': ('digest', 'advice', 'chat', 'hold', 'receipt'),
     'hollinbrook-labelcalc':
         ('dossier', 'reconcile', 'allergen', 'panel', 'claim'),
@@ -21,14 +21,14 @@
 """Kinds of request in the order of each site's load sheet."""
 
 
-def entries(journal):
+def newest_entries(journal):
     """Returns ``{(site, policy): entry}`` of the newest of each."""
     found = {}
     for path in sorted(pathlib.Path(journal).glob('*.json')):
         entry = json.loads(path.read_text(encoding='utf-8'))
         why = entry.get('why') or ''
-        if why.startswith(PREFIX) and entry.get('days'):
-            found[entry['site'], why.removeprefix(PREFIX)] = entry
+        if why.startswith(REASON_PREFIX) and entry.get('days'):
+            found[entry['site'], why.removeprefix(REASON_PREFIX)] = entry
     return found
 
 
@@ -45,7 +45,7 @@
 
 def table(found, site):
     """Yields the lines of a site's table."""
-    kinds = KINDS[site]
+    kinds = KINDS_BY_SITE[site]
     yield '| day | policy | score | ' + ' | '.join(
         kinds) + ' | refused | failed | paid |'
     yield '|---' * (6 + len(kinds)) + '|'
@@ -60,8 +60,11 @@
 def plot(found, path):
     """Draws each day's score by policy, a panel a site."""
     from matplotlib import pyplot
-    fig, axes = pyplot.subplots(len(KINDS), 1, figsize=(9, 6), sharey=True)
-    for ax, site in zip(axes, KINDS, strict=True):
+    fig, axes = pyplot.subplots(len(KINDS_BY_SITE),
+                                1,
+                                figsize=(9, 6),
+                                sharey=True)
+    for ax, site in zip(axes, KINDS_BY_SITE, strict=True):
         mine = [p for p in POLICIES if (site, p) in found]
         for i, policy in enumerate(mine):
             days = _days(found[site, policy])
@@ -81,8 +84,8 @@
     parser.add_argument('--journal', default='journal')
     parser.add_argument('--out')
     args = parser.parse_args()
-    found = entries(args.journal)
-    for site in KINDS:
+    found = newest_entries(args.journal)
+    for site in KINDS_BY_SITE:
         print(f'\n### {site}\n')
         print('\n'.join(table(found, site)))
     if args.out:
--- a/bench/table_cost.py
+++ b/bench/table_cost.py
@@ -18,7 +18,7 @@
 """Routes and client accounts: of today's deployments as they grow, and of the
 two-year size."""
 
-ROUNDS = 5
+REPEATS = 5
 
 
 def _route(number):
@@ -58,7 +58,7 @@
 
 def _least_ms(record):
     spent = []
-    for _ in range(ROUNDS):
+    for _ in range(REPEATS):
         before = time.process_time()
         records.Records().decode_table(record)
         spent.append(time.process_time() - before)
--- a/features/environment.py
+++ b/features/environment.py
@@ -19,8 +19,8 @@
     context.tmp = tempfile.mkdtemp(prefix='gorsefall-test-')
     context.site_stack = contextlib.ExitStack()
     context.site = context.site_stack.enter_context(
-        ports.site(SITE, f'{context.tmp}/site'))
-    take = context.site_stack.enter_context(ports.free())
+        ports.copy_site(SITE, f'{context.tmp}/site'))
+    take = context.site_stack.enter_context(ports.allocator())
     context.extra_addr = f'127.0.0.1:{take()}'
     context.third_addr = f'127.0.0.1:{take()}'
     context.cfg = {
@@ -34,7 +34,7 @@
         return
     opts = {'log': ['retain_s=4.0']} if 'retain' in feature.tags else None
     context.procs = context.site_stack.enter_context(
-        launch.processes(context.site, context.tmp, opts=opts))
+        launch.run_processes(context.site, context.tmp, opts=opts))
     doc = catalogue.load(SITE / 'catalogue.toml')
     publish.publish(context.log_addr, doc, 'test')
     from steps import common
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -36,11 +36,11 @@
                                                    stdout=out,
                                                    stderr=subprocess.STDOUT)
         waiting.until(lambda: common.is_up(context.extra_addr), f'{name} up')
-    launch.list_vm(common.standin(context, 'vmlist'),
-                   name=name,
-                   addr=context.extra_addr,
-                   zone='az1',
-                   pool='llm')
+    launch.set_vm(common.standin(context, 'vmlist'),
+                  name=name,
+                  addr=context.extra_addr,
+                  zone='az1',
+                  pool='llm')
     waiting.until(lambda: _states(context, name) == ['live'] * 2,
                   f'{name} known at every entry')
 
@@ -68,11 +68,11 @@
 
 @when('the VM list shows a third entry "{name}"')
 def step_third(context, name):
-    launch.list_vm(common.standin(context, 'vmlist'),
-                   name=name,
-                   addr=context.third_addr,
-                   zone='az3',
-                   role='entry')
+    launch.set_vm(common.standin(context, 'vmlist'),
+                  name=name,
+                  addr=context.third_addr,
+                  zone='az3',
+                  role='entry')
 
 
 @then('every entry splits the limits by {n:d}')
--- a/features/steps/operations_steps.py
+++ b/features/steps/operations_steps.py
@@ -135,7 +135,7 @@
 def step_more_entries(context):
     context.sites = [context.platform]
     for _ in range(2):
-        take = context.ports_held.enter_context(ports.free())
+        take = context.ports_held.enter_context(ports.allocator())
         site = standin.Site(tempfile.mkdtemp(dir=context.tmp),
                             take,
                             store=context.platform.store)
--- a/features/steps/platform_site.py
+++ b/features/steps/platform_site.py
@@ -30,7 +30,7 @@
 
 def new_site(context, configured=True):
     held = context.ports_held = contextlib.ExitStack()
-    take = held.enter_context(ports.free())
+    take = held.enter_context(ports.allocator())
     site = standin.Site(tempfile.mkdtemp(dir=context.tmp), take)
     held.callback(site.close)
     context.add_cleanup(held.close)
@@ -48,11 +48,11 @@
     """Returns sites with an entry each, which share a store and hear others."""
     held = context.ports_held = contextlib.ExitStack()
     context.add_cleanup(held.close)
-    port = held.enter_context(ports.free())()
+    port = held.enter_context(ports.allocator())()
     sites = []
     for i in range(count):
         site = standin.Site(tempfile.mkdtemp(dir=context.tmp),
-                            held.enter_context(ports.free()),
+                            held.enter_context(ports.allocator()),
                             store=sites[0].store if sites else None,
                             peers=f'127.0.0.{i + 2}:{port}',
                             revoke_s=revoke_s)
--- a/features/steps/platform_store_steps.py
+++ b/features/steps/platform_store_steps.py
@@ -48,7 +48,7 @@
 @when('the store falls silent')
 def step_silent(context):
     context.platform.store.mode = 'silent'
-    context.platform.store.cut()
+    context.platform.store.reset_connections()
 
 
 @then('requests with a key get status {status:d} within the bound')
@@ -73,7 +73,7 @@
 @when('the store answers again')
 def step_again(context):
     context.platform.store.mode = 'ok'
-    context.platform.store.cut()
+    context.platform.store.reset_connections()
 
 
 @then('requests with a key are served again')
@@ -150,7 +150,7 @@
 def step_lapse(context):
     site = context.platform
     site.store.mode = 'busy'
-    site.store.cut()
+    site.store.reset_connections()
     waiting.until(
         lambda: sum(ln['event'] == 'store_lost' for ln in site.log()) == 2,
         'the store lost on both topics')
--- a/features/steps/sharing_steps.py
+++ b/features/steps/sharing_steps.py
@@ -119,7 +119,7 @@
 @when('the store falls silent for the five')
 def step_silent(context):
     context.platform.store.mode = 'silent'
-    context.platform.store.cut()
+    context.platform.store.reset_connections()
 
 
 @then('requests with a key are refused at all five within the bound')
@@ -133,6 +133,6 @@
 @then('they are served at all five when it answers again')
 def step_again(context):
     context.platform.store.mode = 'ok'
-    context.platform.store.cut()
+    context.platform.store.reset_connections()
     for site in context.sites:
         waiting.until(lambda s=site: _ask(context, s).status == 200, 'served')
--- a/gorsefall/demo.py
+++ b/gorsefall/demo.py
@@ -29,8 +29,8 @@
     site, out = pathlib.Path(site), pathlib.Path(out)
     if not (site / 'standins.txt').is_file():
         raise errors.SettingsError(f'{site}: contains no standins.txt')
-    with ports.site(site, out / 'sites' / site.name) as site_dir:
-        with launch.processes(site_dir, out / 'logs'):
+    with ports.copy_site(site, out / 'sites' / site.name) as site_dir:
+        with launch.run_processes(site_dir, out / 'logs'):
             doc = catalogue.load(site_dir / 'catalogue.toml')
             entries = [
                 settings.load(path).entry
--- a/gorsefall/standins/acceptor.py
+++ b/gorsefall/standins/acceptor.py
@@ -11,7 +11,7 @@
 
 
 class Acceptor:
-    """Listens on a free port; subclasses talk in ``talk``.
+    """Listens on a free port; subclasses talk in ``serve_connection``.
 
     Attributes:
         address: ``(host, port)`` it listens on.
@@ -38,9 +38,9 @@
 
     def _run(self, sock):
         with contextlib.suppress(OSError), sock:
-            self.talk(sock)
+            self.serve_connection(sock)
 
-    def talk(self, sock):
+    def serve_connection(self, sock):
         """Talks with the peer until it returns; errors of the socket end it."""
         raise NotImplementedError
 
@@ -51,19 +51,19 @@
             self._sock.shutdown(socket.SHUT_RDWR)
         self._sock.close()
 
-    def cut(self):
+    def reset_connections(self):
         """Resets every open connection."""
         for sock in list(self._conns):
-            reset(sock)
+            reset_connection(sock)
         self._conns.clear()
 
     def close(self):
         """Stops listening and resets what is open."""
         self.stop_listening()
-        self.cut()
+        self.reset_connections()
 
 
-def reset(sock):
+def reset_connection(sock):
     """Closes ``sock`` with a reset."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
--- a/gorsefall/standins/base.py
+++ b/gorsefall/standins/base.py
@@ -9,9 +9,9 @@
 
 from gorsefall import replies
 
-MAX_BODY = 1 << 20
+MAX_BODY_BYTES = 1 << 20
 
-UNDELAYED = ('/control', '/stats')
+UNDELAYED_PATHS = ('/control', '/stats')
 """Routes for tests; the delay switch leaves them alone."""
 
 
@@ -58,7 +58,7 @@
 
     def control(self, *args, **kwargs):
         """Merges the posted JSON into the fault switches; returns them."""
-        body = replies.read_json(self.request, MAX_BODY)
+        body = replies.read_json(self.request, MAX_BODY_BYTES)
         merged = msgspec.structs.asdict(self.faults) | body
         self.faults = msgspec.convert(merged, Faults)
         return replies.json_body(self.response, self.faults)
@@ -121,7 +121,7 @@
                    replies.WEB_CHANNEL).register(self)
 
     def _is_control(self, res):
-        return res.request.path.startswith(UNDELAYED)
+        return res.request.path.startswith(UNDELAYED_PATHS)
 
 
 def serve(controller, addr, extra=()):
--- a/gorsefall/standins/engine.py
+++ b/gorsefall/standins/engine.py
@@ -20,7 +20,7 @@
 BLOCK_WORDS = 32
 """Words (here: tokens) of a prompt that are cached together."""
 
-HEARTBEAT_S = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
 MAX_STEPS_PER_TICK = 50
 
 
@@ -42,7 +42,7 @@
     beat_at: float = 0.0
 
 
-def answer_length(prompt, seed, lo=8, hi=120):
+def completion_length(prompt, seed, lo=8, hi=120):
     """Returns the stand-in's answer length in tokens for ``prompt``.
 
     Callers cannot know it in advance; it is fixed per prompt and seed so a
@@ -53,7 +53,7 @@
     return lo + int((hi - lo) * rng.random()**2)
 
 
-def blocks(prompt):
+def block_digests(prompt):
     """Returns the chained digests of the prompt's full blocks of words."""
     words = prompt.split()
     out = []
@@ -120,10 +120,11 @@
         """POST /generate: a ``GenerateOrder`` in, a stream of ``Event`` out."""
         if (reply := self._down()) is not None:
             return reply
-        order = replies.read_json(self.request, base.MAX_BODY,
+        order = replies.read_json(self.request, base.MAX_BODY_BYTES,
                                   messages.GenerateOrder)
-        length = min(answer_length(order.prompt, self.seed, self.lo, self.hi),
-                     order.max_tokens)
+        length = min(
+            completion_length(order.prompt, self.seed, self.lo, self.hi),
+            order.max_tokens)
         out = replies.start_chunked(self, self.response, 'application/x-ndjson')
         self._waiting.append(
             _Seq(order,
@@ -136,7 +137,7 @@
 
     def cancel(self, *args, **kwargs):
         """POST /cancel {"id"}: stops a sequence; its stream ends."""
-        body = replies.read_json(self.request, base.MAX_BODY)
+        body = replies.read_json(self.request, base.MAX_BODY_BYTES)
         seq = self._find(body.get('id'))
         if seq is not None:
             self._drop(seq)
@@ -145,7 +146,7 @@
 
     def priority(self, *args, **kwargs):
         """POST /priority {"id", "priority"}: changes a sequence's priority."""
-        body = replies.read_json(self.request, base.MAX_BODY)
+        body = replies.read_json(self.request, base.MAX_BODY_BYTES)
         seq = self._find(body.get('id'))
         if seq is not None:
             seq.order.priority = int(body['priority'])
@@ -175,7 +176,7 @@
         With ``check_fence`` on, an order whose fence is older than one
         already seen is refused with 409; with it off, it is obeyed.
         """
-        body = replies.read_json(self.request, base.MAX_BODY)
+        body = replies.read_json(self.request, base.MAX_BODY_BYTES)
         fence = int(body.get('fence', 0))
         if self.faults.check_fence and fence < self._fence:
             return replies.json_body(
@@ -191,10 +192,10 @@
 
     def kv(self, action='export', *args, **kwargs):
         """POST /kv/export {"id"} or /kv/import {"blocks"}: KV transfer."""
-        body = replies.read_json(self.request, base.MAX_BODY)
+        body = replies.read_json(self.request, base.MAX_BODY_BYTES)
         if action == 'export':
             seq = self._find(body.get('id'))
-            known = blocks(seq.order.prompt) if seq else []
+            known = block_digests(seq.order.prompt) if seq else []
             return replies.json_body(
                 self.response, {
                     'id': body.get('id'),
@@ -238,7 +239,7 @@
                                    by_entry=by_entry)
 
     def _to_prefill(self, order):
-        known = blocks(order.prompt)
+        known = block_digests(order.prompt)
         hit = 0
         for block in known:
             if block not in self._cache:
@@ -325,7 +326,7 @@
         # A waiting or preempted request is silent for long; without a sign
         # of life the entry could not tell that from a dead connection.
         for seq in (*self._running.values(), *self._waiting):
-            if now - seq.beat_at >= HEARTBEAT_S:
+            if now - seq.beat_at >= HEARTBEAT_INTERVAL_S:
                 seq.beat_at = now
                 self._line(seq, messages.Event())
 
--- a/gorsefall/standins/launch.py
+++ b/gorsefall/standins/launch.py
@@ -31,7 +31,7 @@
     """Waits until each entry, by its ``host:port``, is ready for work.
 
     Raises:
-        waiting.NotInTimeError: One is not in time.
+        waiting.WaitTimeoutError: One is not in time.
     """
     for addr in listens:
         waiting.until(lambda addr=addr:
@@ -39,7 +39,7 @@
                       f'{addr} to be ready')
 
 
-def list_vm(vm_list, **fields):
+def set_vm(vm_list, **fields):
     """Sets one VM's ``messages.VmEntry`` on the VM list stand-in.
 
     Args:
@@ -55,7 +55,7 @@
 
 
 @contextlib.contextmanager
-def processes(site_dir, log_dir, entries=None, opts=None):
+def run_processes(site_dir, log_dir, entries=None, opts=None):
     """Starts a site's stand-ins and entries; stops them on exit.
 
     Args:
@@ -104,11 +104,11 @@
             waiting.until(lambda addr=addr: _answer(addr, '/healthz'),
                           f'{addr} to come up')
         for entry in started:
-            list_vm(vm_list,
-                    name=entry.name,
-                    addr=entry.listen,
-                    zone=entry.zone,
-                    role='entry')
+            set_vm(vm_list,
+                   name=entry.name,
+                   addr=entry.listen,
+                   zone=entry.zone,
+                   role='entry')
         yield procs
     finally:
         for p in procs.values():
--- a/gorsefall/standins/logservice.py
+++ b/gorsefall/standins/logservice.py
@@ -79,7 +79,7 @@
                     }
                 }, 429)
         self._window.append(now)
-        body = replies.read_json(self.request, base.MAX_BODY)
+        body = replies.read_json(self.request, base.MAX_BODY_BYTES)
         new = body.get('records', [])
         recs = self._streams[name]
         offset = self._starts[name] + len(recs)
@@ -107,7 +107,7 @@
 
     def trim(self, name=None, *args, **kwargs):
         """POST /trim/NAME {"keep": N}: drops all but the newest N records."""
-        body = replies.read_json(self.request, base.MAX_BODY)
+        body = replies.read_json(self.request, base.MAX_BODY_BYTES)
         keep = int(body.get('keep', 0))
         self._drop(name, max(0, len(self._streams[name]) - keep))
         return replies.json_body(self.response, {'start': self._starts[name]})
--- a/gorsefall/standins/ports.py
+++ b/gorsefall/standins/ports.py
@@ -12,7 +12,7 @@
 import socket
 import tempfile
 
-PORTS = range(20000, 32000)
+PORT_RANGE = range(20000, 32000)
 """Below the kernel's range for outgoing connections, so that none of these
 is taken between being found free and being listened on."""
 
@@ -44,7 +44,7 @@
 
 
 @contextlib.contextmanager
-def free():
+def allocator():
     """Yields a function that gives a free port each time it is called.
 
     A port stays reserved against other suites until the context ends.
@@ -53,7 +53,7 @@
 
         def take():
             while True:
-                port = random.choice(PORTS)
+                port = random.choice(PORT_RANGE)
                 file = _lock(port)
                 if file is None:
                     continue
@@ -65,7 +65,7 @@
 
 
 @contextlib.contextmanager
-def site(source, target):
+def copy_site(source, target):
     """Copies a site's settings with every loopback port changed to a free one.
 
     Args:
@@ -78,7 +78,7 @@
     source, target = pathlib.Path(source), pathlib.Path(target)
     target.mkdir(parents=True, exist_ok=True)
     ports = {}
-    with free() as take:
+    with allocator() as take:
 
         def replace(match):
             old = match.group(1)
--- a/gorsefall/standins/service.py
+++ b/gorsefall/standins/service.py
@@ -10,7 +10,7 @@
 from gorsefall import replies
 from gorsefall.standins import base
 
-NOT_REPEATABLE = frozenset({'charge', 'issue_declaration'})
+NON_IDEMPOTENT_OPS = frozenset({'charge', 'issue_declaration'})
 
 
 class _Worked(core.Event):
@@ -48,10 +48,10 @@
         """POST /call: runs one ``ServiceCall``; answers its result."""
         if (reply := self._down()) is not None:
             return reply
-        order = replies.read_json(self.request, base.MAX_BODY,
+        order = replies.read_json(self.request, base.MAX_BODY_BYTES,
                                   messages.ServiceCall)
         key = order.key or order.id
-        if order.op in NOT_REPEATABLE and self.faults.check_fence:
+        if order.op in NON_IDEMPOTENT_OPS and self.faults.check_fence:
             # Fences are compared per key: claims of different keys may
             # arrive in any order, and none is stale for it.
             if order.fence < self._fences.get(key, 0):
--- a/gorsefall/standins/vmlist.py
+++ b/gorsefall/standins/vmlist.py
@@ -22,7 +22,7 @@
         if (reply := self._down()) is not None:
             return reply
         if self.request.method == 'POST':
-            vm = replies.read_json(self.request, base.MAX_BODY,
+            vm = replies.read_json(self.request, base.MAX_BODY_BYTES,
                                    messages.VmEntry)
             self._set({**self._history[-1][1], vm.name: vm})
             return replies.json_body(self.response, {'ok': True})
@@ -36,7 +36,7 @@
 
     def drop(self, *args, **kwargs):
         """POST /drop {"name"}: the list shows this VM no longer."""
-        name = replies.read_json(self.request, base.MAX_BODY).get('name')
+        name = replies.read_json(self.request, base.MAX_BODY_BYTES).get('name')
         now = dict(self._history[-1][1])
         now.pop(name, None)
         self._set(now)
--- a/gorsefall/standins/waiting.py
+++ b/gorsefall/standins/waiting.py
@@ -5,11 +5,11 @@
 TIMEOUT_S = 20.0
 """Longest wait, s: a bound against hangs, over ten times what is usual."""
 
-PAUSE_S = 0.02
+POLL_INTERVAL_S = 0.02
 """Pause between looks, s."""
 
 
-class NotInTimeError(AssertionError):
+class WaitTimeoutError(AssertionError):
     """What was waited for did not come."""
 
 
@@ -19,12 +19,12 @@
     A bound, not a speed assert: it only turns a hang into a failure.
 
     Raises:
-        NotInTimeError: It did not within ``timeout_s``.
+        WaitTimeoutError: It did not within ``timeout_s``.
     """
     end = time.monotonic() + timeout_s
     while time.monotonic() < end:
         got = check()
         if got:
             return got
-        time.sleep(PAUSE_S)
-    raise NotInTimeError(f'timed out waiting for {what}')
+        time.sleep(POLL_INTERVAL_S)
+    raise WaitTimeoutError(f'timed out waiting for {what}')
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -22,7 +22,7 @@
         super().__init__()
         self.addr = self.address
 
-    def talk(self, sock):
+    def serve_connection(self, sock):
         while True:
             data = sock.recv(65536)
             if not data:
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -15,7 +15,7 @@
     Otherwise scenarios fail whenever a second suite runs on the machine, as
     the entries of one site connect to the log service of the other.
     """
-    with ports.site(SITE, tmp_path / 'one') as one, ports.site(
+    with ports.copy_site(SITE, tmp_path / 'one') as one, ports.copy_site(
             SITE, tmp_path / 'two') as two:
         listens = {
             settings.load(site / f'{name}.toml').entry.listen
@@ -23,8 +23,8 @@
             for name in ('entry-a', 'entry-b')
         }
         assert len(listens) == 4
-        with launch.processes(one, tmp_path / 'logs-1') as first:
-            with launch.processes(two, tmp_path / 'logs-2') as second:
+        with launch.run_processes(one, tmp_path / 'logs-1') as first:
+            with launch.run_processes(two, tmp_path / 'logs-2') as second:
                 assert all(p.poll() is None for p in first.values())
                 assert all(p.poll() is None for p in second.values())
 
@@ -35,6 +35,6 @@
     Otherwise two harnesses get the same port before either process listens on
     it, and one of the stand-ins cannot start.
     """
-    with ports.free() as take, ports.free() as take_other:
+    with ports.allocator() as take, ports.allocator() as take_other:
         taken = {take() for _ in range(50)}
         assert taken.isdisjoint({take_other() for _ in range(50)})
