--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,10 +1,10 @@
-"""Measures the slopes that docs/CAPACITY.md works from.
+"""Measures the cost per replica, peer, class and request for docs/CAPACITY.md.
 
 Usage: python bench/capacity.py [--part NAME ...] [--out out/capacity.json]
 
-Starts a few stand-ins and one to three entries on loopback; many replicas,
-peers and classes are had by giving a few processes many names. Stays under
-20 processes and 1 GB.
+Starts a few stand-ins and one to three entries on loopback. To simulate many
+replicas and peers, a few processes are listed under many names, which keeps
+the site below 20 processes and 1 GB.
 """
 
 import argparse
@@ -44,7 +44,7 @@
     return f'127.0.0.1:{port}'
 
 
-def _doc(customers, per_customer=1):
+def _document(customers, per_customer=1):
     return catalogue.Document(classes=[
         catalogue.Klass(owner=f'c{i}',
                         name=f'k{j}',
@@ -60,14 +60,18 @@
 
 @contextlib.contextmanager
 def run_site(replicas=4, entries=1, peers=0, doc=None, **entry_cfg):
-    """Starts a site; yields ``(log address, [entry address], [Process])``.
+    """Starts a site of stand-ins and entries.
 
     Args:
-        replicas: Replica names, spread over four engine processes.
-        entries: Entry processes.
-        peers: Further entry names in the VM list, all at the first entry.
-        doc: Catalogue, published before the entries start.
+        replicas: Number of replica names, spread over four engine processes.
+        entries: Number of entry processes.
+        peers: Number of further entry names in the VM list, all with the
+            address of the first entry.
+        doc: Catalogue to publish (default: ten customers, two classes each).
         **entry_cfg: Further settings of the entries.
+
+    Yields:
+        ``(log address, [entry address], [Process])``.
     """
     with tempfile.TemporaryDirectory() as tmp:
         root = pathlib.Path(tmp)
@@ -120,7 +124,7 @@
                               addr=_addr(FIRST_ENTRY_PORT),
                               role='entry')
             log = settingsfile.split_addr(_addr(LOG_PORT))
-            publish.publish(log, doc or _doc(10, 2))
+            publish.publish(log, doc or _document(10, 2))
             cfgs = [settings.load(p) for p in sorted(root.glob('entry-*.toml'))]
             listens = [c.entry.listen for c in cfgs]
             launch.wait_ready(listens)
@@ -130,7 +134,7 @@
 
 
 def link_bytes(addr):
-    """Returns ``route -> bytes`` (both ways) of an entry's calls so far."""
+    """Returns the bytes of an entry's calls in both directions, by route."""
     with urllib.request.urlopen(f'http://{addr}/metrics', timeout=5) as res:
         text = res.read().decode()
     out = {}
@@ -147,11 +151,11 @@
 
 
 def idle_cost(addr, proc):
-    """Returns CPU (% of a core), RSS (MB) and B/s by route while idle."""
+    """Returns CPU (% of a core), RSS (MB) and B/s by route of an idle entry."""
     time.sleep(SETTLE_S)
-    cpu, sent, t0 = _cpu_s(proc), link_bytes(addr), time.monotonic()
+    cpu, sent, start = _cpu_s(proc), link_bytes(addr), time.monotonic()
     time.sleep(SAMPLE_S)
-    span = time.monotonic() - t0
+    span = time.monotonic() - start
     after = link_bytes(addr)
     return {
         'cpu_pct': round(100 * (_cpu_s(proc) - cpu) / span, 2),
@@ -163,7 +167,7 @@
 
 
 def part_replicas():
-    """Idle cost against replicas known."""
+    """Measures the idle cost by number of replicas."""
     out = {}
     for n in (4, 16, 64, 256):
         with run_site(replicas=n) as (_, addrs, procs):
@@ -172,7 +176,7 @@
 
 
 def part_peers():
-    """Idle cost against entries known."""
+    """Measures the idle cost by number of peers."""
     out = {}
     for n in (0, 6, 24):
         with run_site(peers=n) as (_, addrs, procs):
@@ -181,7 +185,7 @@
 
 
 def part_polls():
-    """Idle cost against the poll periods (times the defaults)."""
+    """Measures the idle cost by poll period, as a multiple of the default."""
     periods = {
         'catalogue_poll_s': 1.0,
         'ledger_poll_s': 3.0,
@@ -190,26 +194,26 @@
         'peer_poll_s': 1.0
     }
     out = {}
-    for x in (1, 4):
-        cfg = {k: v * x for k, v in periods.items()}
+    for factor in (1, 4):
+        cfg = {k: v * factor for k, v in periods.items()}
         with run_site(peers=6, **cfg) as (_, addrs, procs):
-            out[x] = idle_cost(addrs[0], procs[0])
+            out[factor] = idle_cost(addrs[0], procs[0])
     return out
 
 
 def part_classes():
-    """Memory and time against classes in the catalogue."""
+    """Measures idle cost and the cost of a change by number of classes."""
     out = {}
     for n in (10, 500, 2000, 6000):
-        doc = _doc(n // 5, 5)
+        doc = _document(n // 5, 5)
         with run_site(doc=doc) as (log, addrs, procs):
             row = idle_cost(addrs[0], procs[0])
             doc.classes[0].rate_per_s = 7.0
             cpu, sent = _cpu_s(procs[0]), link_bytes(addrs[0])
-            t0 = time.monotonic()
+            start = time.monotonic()
             version = publish.publish(log, doc)
             _wait_version(addrs[0], version)
-            row['change_in_force_s'] = round(time.monotonic() - t0, 2)
+            row['change_in_force_s'] = round(time.monotonic() - start, 2)
             row['change_cpu_ms'] = round(1000 * (_cpu_s(procs[0]) - cpu), 1)
             row['change_bytes'] = round(
                 link_bytes(addrs[0])['streams'] - sent['streams'])
@@ -226,35 +230,35 @@
 
 
 def _scenario(rate, kind, duration_s=6.0):
-    st = bench.Stream(customer='c0',
-                      klass='k1' if kind == 'service' else 'k0',
-                      rate_per_s=rate,
-                      kind=kind,
-                      pool='svc',
-                      op='charge',
-                      max_tokens=60,
-                      prompt_words=PROMPT_WORDS)
+    stream = bench.Stream(customer='c0',
+                          klass='k1' if kind == 'service' else 'k0',
+                          rate_per_s=rate,
+                          kind=kind,
+                          pool='svc',
+                          op='charge',
+                          max_tokens=60,
+                          prompt_words=PROMPT_WORDS)
     return bench.Scenario(name=f'{kind} {rate}/s',
                           run_site='',
                           catalogue='',
                           duration_s=duration_s,
-                          streams=[st])
+                          streams=[stream])
 
 
-def _load(kind, rates):
+def _measure_load(kind, rates):
     out = {}
     for rate in rates:
         with run_site() as (_, addrs,
                             procs), tempfile.TemporaryDirectory() as tmp:
             sc = _scenario(rate, kind)
             path = pathlib.Path(tmp) / 'catalogue.toml'
-            path.write_text(catalogue.to_toml(_doc(10, 2)))
+            path.write_text(catalogue.to_toml(_document(10, 2)))
             sc.catalogue = str(path)
-            log0 = _stats()
+            log_before = _log_stats()
             cpu, rss = _cpu_s(procs[0]), procs[0].memory_info().rss
             rep = bench.run(sc, [settingsfile.split_addr(addrs[0])])
             used = _cpu_s(procs[0]) - cpu
-            log1 = _stats()
+            log_after = _log_stats()
             klass = rep['classes'][0]
             out[rate] = {
                 'requests':
@@ -270,27 +274,27 @@
                 'ttft_p95_ms':
                     klass['ttft_p95_ms'],
                 'appends':
-                    log1['appends'] - log0['appends'],
+                    log_after['appends'] - log_before['appends'],
                 'records':
-                    log1['records'] - log0['records'],
+                    log_after['records'] - log_before['records'],
             }
     return out
 
 
-def _stats():
+def _log_stats():
     with urllib.request.urlopen(f'http://{_addr(LOG_PORT)}/stats',
                                 timeout=5) as res:
         return {'appends': 0, 'records': 0, **json.load(res)}
 
 
 def part_claims():
-    """Memory of remembered keys, in this process."""
+    """Measures memory and CPU time per idempotency key, in this process."""
     out = {}
-    me = psutil.Process()
+    this_process = psutil.Process()
     for n in (20000, 40000):
         state = claims.State(900.0)
-        rss = me.memory_info().rss
-        t0 = time.process_time()
+        rss = this_process.memory_info().rss
+        start = time.process_time()
         for i in range(n):
             raw = {
                 'kind': 'claim',
@@ -310,8 +314,8 @@
             }
             state.apply(2 * i + 1, msgspec.convert(raw, claims.Record), 0.0)
         out[n] = {
-            'bytes_per_key': round((me.memory_info().rss - rss) / n),
-            'us_per_key': round(1e6 * (time.process_time() - t0) / n, 1)
+            'bytes_per_key': round((this_process.memory_info().rss - rss) / n),
+            'us_per_key': round(1e6 * (time.process_time() - start) / n, 1)
         }
     return out
 
@@ -322,13 +326,13 @@
     'peers': part_peers,
     'polls': part_polls,
     'classes': part_classes,
-    'streams': functools.partial(_load, 'chat', (10, 20, 40)),
-    'charges': functools.partial(_load, 'service', (20, 40, 80)),
+    'streams': functools.partial(_measure_load, 'chat', (10, 20, 40)),
+    'charges': functools.partial(_measure_load, 'service', (20, 40, 80)),
 }
 
 
 def main(argv=None):
-    """Runs the parts; returns the exit status."""
+    """Runs the selected parts; returns the exit status."""
     args = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     args.add_argument('--part', action='append', choices=sorted(PARTS))
     args.add_argument('--out', default='out/capacity.json')
--- a/bench/compare.py
+++ b/bench/compare.py
@@ -1,11 +1,10 @@
-"""Runs a scenario under each policy in one go and compares the reports.
+"""Runs a scenario under several policies and compares the reports.
 
 Usage: python bench/compare.py bench/SCENARIO.toml [--policy NAME ...]
            [--repeat N] [--out out/bench]
 
-Each policy gets the same arrivals, prompts, faults and stand-ins, started
-afresh. Writes one JSON and one PNG per scenario. The harness starts the
-processes; no gorsefall daemon does.
+Each policy gets the same arrivals, prompts and faults, and newly started
+stand-ins and entries. Writes a JSON file and a PNG file per scenario.
 """
 
 import argparse
@@ -37,12 +36,12 @@
 POLICIES = ('tiers', 'fifo', 'roundrobin')
 
 
-def make_site(sc, policy, to):
-    """Copies the scenario's example site with ``policy`` in force."""
+def make_site(sc, policy, target):
+    """Copies the scenario's example site, with ``policy`` in its settings."""
     src = ROOT / 'examples' / sc.site
     slots = _opt(sc, 'engine', 'max_batch', 16)
     service_slots = _opt(sc, 'service', 'slots', 6)
-    (to / 'standins.txt').write_text((src / 'standins.txt').read_text())
+    (target / 'standins.txt').write_text((src / 'standins.txt').read_text())
     cfgs = []
     for path in sorted(src.glob('entry-*.toml')):
         raw = tomllib.loads(path.read_text())
@@ -54,8 +53,8 @@
                 p: service_slots for p in pools
             }
         }
-        (to / path.name).write_text(tomli_w.dumps(raw))
-        cfgs.append(settings.load(to / path.name))
+        (target / path.name).write_text(tomli_w.dumps(raw))
+        cfgs.append(settings.load(target / path.name))
     return cfgs
 
 
@@ -73,40 +72,43 @@
 
 
 def standin_addrs(site):
-    """Returns ``name -> host:port`` of a site's stand-ins."""
+    """Returns the addresses of a site's stand-ins as ``name -> host:port``."""
     lines = (site / 'standins.txt').read_text().splitlines()
     rows = [ln.split() for ln in lines if ln and not ln.startswith('#')]
     return {name: addr for _, name, addr in rows}
 
 
 def _engine_totals(addrs):
-    sums = {}
+    totals = {}
     for name, addr in addrs.items():
         if name.startswith('engine'):
             for key, value in _get(addr, '/stats').items():
                 if isinstance(value, int):
-                    sums[key] = sums.get(key, 0) + value
-    return sums
+                    totals[key] = totals.get(key, 0) + value
+    return totals
 
 
 def run_policy(sc, policy):
-    """Runs ``sc`` under ``policy`` with fresh processes; returns the report."""
+    """Runs ``sc`` under ``policy`` with new processes; returns the report."""
     with tempfile.TemporaryDirectory() as tmp:
         site = pathlib.Path(tmp)
         cfgs = make_site(sc, policy, site)
         addrs = standin_addrs(site)
         logs = ROOT / 'out' / 'logs' / policy
         shutil.rmtree(logs, ignore_errors=True)
-        with launch.run_processes(site, logs, opts=sc.standin_opts) as ps:
+        with launch.run_processes(site, logs,
+                                  opts=sc.standin_opts) as procs_by_name:
             log = settingsfile.split_addr(cfgs[0].entry.log_service)
             publish.publish(log, catalogue.load(ROOT / sc.catalogue))
             listens = [c.entry.listen for c in cfgs]
             launch.wait_ready(listens)
-            procs = [psutil.Process(ps[c.entry.name].pid) for c in cfgs]
-            cpu0 = sum(sum(p.cpu_times()[:2]) for p in procs)
+            procs = [
+                psutil.Process(procs_by_name[c.entry.name].pid) for c in cfgs
+            ]
+            cpu_before = sum(sum(p.cpu_times()[:2]) for p in procs)
             rep = bench.run(sc, [settingsfile.split_addr(a) for a in listens],
                             addrs.get)
-            cpu = sum(sum(p.cpu_times()[:2]) for p in procs) - cpu0
+            cpu = sum(sum(p.cpu_times()[:2]) for p in procs) - cpu_before
             rep['label'] = policy
             rep['engines'] = _engine_totals(addrs)
             rep['entry_cpu_ms_per_req'] = round(1000 * cpu / rep['requests'], 2)
@@ -116,7 +118,7 @@
 
 
 def median_report(reps):
-    """Returns the median over repeated runs of each number of a report."""
+    """Returns a report with the median over repeated runs of each number."""
     first = reps[0]
     if isinstance(first, dict):
         keys = set.union(*(set(r) for r in reps))
@@ -129,7 +131,7 @@
 
 
 def plot(reps, path):
-    """Draws attainment by class, and goodput and waste, for each policy."""
+    """Draws for each policy the attainment by class, goodput and waste."""
     fig, (top, bottom) = pyplot.subplots(2, 1, figsize=(9, 8))
     names = [f"T{c['tier']} {c['class']}" for c in reps[0]['classes']]
     width = 0.8 / len(reps)
@@ -159,16 +161,17 @@
 
 
 def summary(rep):
-    """Returns the report's extra lines: preemptions, prompts, cost."""
-    eng = rep['engines']
+    """Returns a line with preemptions, prefill share and cost of entries."""
+    engines = rep['engines']
     preempted = {
         k.removeprefix('preempted_'): v
-        for k, v in eng.items()
+        for k, v in engines.items()
         if k.startswith('preempted_')
     }
-    read = eng.get('prefill_tokens', 0) / max(1, eng.get('prompt_tokens', 1))
+    prefilled = (engines.get('prefill_tokens', 0) /
+                 max(1, engines.get('prompt_tokens', 1)))
     return (f"shed {rep['shed']}  preempted by priority {preempted}  "
-            f"prompt tokens read anew {read:.1%}  "
+            f"prompt tokens prefilled {prefilled:.1%}  "
             f"entry CPU {rep['entry_cpu_ms_per_req']} ms/req  "
             f"RSS {rep['entry_rss_mb']} MB")
 
@@ -183,7 +186,7 @@
     args = args.parse_args(argv)
     sc = bench.load(args.scenario)
     policies = args.policy or POLICIES
-    # Interleaved, so that a change of the machine's mood meets all alike.
+    # Policies alternate, so that a change of the VM's load affects all alike.
     runs = {p: [] for p in policies}
     for _ in range(args.repeat):
         for policy in policies:
--- a/bench/days.py
+++ b/bench/days.py
@@ -1,11 +1,11 @@
-"""Writes days of trouble beside the standard ones, alone, paired and mixed.
+"""Generates day files with faults for the installation's own bench.
 
 Usage: python bench/days.py SITE_FILE FOLDER [--mixed DAYS --seed SEED]
 
-Takes the quiet day of a site file as its traffic, and writes a day file for
-each trouble of ``troubles.toml``, and one with another beside it, for
-the installation's own bench to play. With ``--mixed`` it writes days on which
-several of them come at any time, overlapping, some of them twice.
+The traffic is that of the quiet day in a site file. For each fault in
+``troubles.toml`` one day has this fault alone and another has a second fault
+beside it. With ``--mixed``, each day has several faults at random times, which
+may overlap; one of them occurs twice.
 """
 
 import argparse
@@ -20,40 +20,41 @@
 
 
 class Fault(typing.NamedTuple):
-    """One trouble of a day.
+    """One fault of a day.
 
     Attributes:
         kind: Its name in the installation's own bench.
-        fields: How strong, how long, of which sort.
+        fields: Further parameters, such as strength, duration and variant.
     """
     kind: str
     fields: dict
 
 
-def _troubles(section):
+def _load_faults(section):
     rows = tomllib.loads(FAULTS_FILE.read_text(encoding='utf-8'))[section]
     return [Fault(row.pop('kind'), row) for row in rows]
 
 
 FIRST_FAULT_AT_S, SECOND_FAULT_AT_S = 8.0, 9.5
-"""When the trouble and the one beside it begin, s of traffic."""
+"""Start of the first and the second fault, s after the start of traffic."""
 
-_PLANNED = ('roll_term', 'release', 'scale_in', 'config_storm', 'big_config',
-            'revoke')
+_PLANNED_KINDS = ('roll_term', 'release', 'scale_in', 'config_storm',
+                  'big_config', 'revoke')
 
 
-def _day(base, name, troubles):
+def _day(base, name, faults):
     day = {k: v for k, v in base.items() if k not in ('plan', 'faults', 'slot')}
     day |= {'name': name, 'slot': 'trouble', 'plan': [], 'faults': []}
-    for at, trouble in troubles:
-        part = 'plan' if trouble.kind in _PLANNED else 'faults'
-        day[part].append({'at': at, 'kind': trouble.kind} | trouble.fields)
+    for at, fault in faults:
+        part = 'plan' if fault.kind in _PLANNED_KINDS else 'faults'
+        day[part].append({'at': at, 'kind': fault.kind} | fault.fields)
     return day
 
 
 MIXED_START_RANGE_S = (0.5, 29.0)
 MIXED_FAULT_COUNT_RANGE = (3, 6)
-"""When the troubles of a mixed day begin, s of traffic, and how many."""
+"""Faults of a mixed day: range of their start times, s after the start of
+traffic, and of their number, without the repeated one."""
 
 
 def _quiet_day(site_file):
@@ -68,40 +69,42 @@
 
 
 def write_single_and_paired(base, folder):
-    """Writes the days of one trouble and of one beside another."""
-    others = _troubles('beside')
-    for i, trouble in enumerate(_troubles('trouble')):
+    """Writes for each fault a day with it alone and a day with a second one."""
+    others = _load_faults('beside')
+    for i, fault in enumerate(_load_faults('trouble')):
         beside = others[i % len(others)]
-        name = f'{i:02d}-{trouble.kind}'
-        _write(folder, _day(base, name, [(FIRST_FAULT_AT_S, trouble)]))
+        name = f'{i:02d}-{fault.kind}'
+        _write(folder, _day(base, name, [(FIRST_FAULT_AT_S, fault)]))
         _write(
             folder,
-            _day(base, f'{name}-pair', [(FIRST_FAULT_AT_S, trouble),
+            _day(base, f'{name}-pair', [(FIRST_FAULT_AT_S, fault),
                                         (SECOND_FAULT_AT_S, beside)]))
 
 
 def write_mixed(base, folder, days, seed):
-    """Writes days of several troubles at random."""
-    known = _troubles('trouble')
+    """Writes days with several faults at random times."""
+    known = _load_faults('trouble')
     for i in range(days):
         rng = random.Random(f'{seed}-{i}')
-        troubles = [(round(rng.uniform(*MIXED_START_RANGE_S),
-                           1), rng.choice(known))
-                    for _ in range(rng.randint(*MIXED_FAULT_COUNT_RANGE))]
-        troubles.append((round(rng.uniform(*MIXED_START_RANGE_S),
-                               1), troubles[0][1]))
+        faults = [(round(rng.uniform(*MIXED_START_RANGE_S),
+                         1), rng.choice(known))
+                  for _ in range(rng.randint(*MIXED_FAULT_COUNT_RANGE))]
+        faults.append((round(rng.uniform(*MIXED_START_RANGE_S),
+                             1), faults[0][1]))
         _write(
             folder,
             _day(base, f'mixed-{seed}-{i:02d}',
-                 sorted(troubles, key=lambda t: t[0])))
+                 sorted(faults, key=lambda t: t[0])))
 
 
 def main():
     """Writes the day files."""
-    parser = argparse.ArgumentParser(description='Write days of trouble.')
+    parser = argparse.ArgumentParser(description='Write days with faults.')
     parser.add_argument('site_file')
     parser.add_argument('folder')
-    parser.add_argument('--mixed', type=int, help='days of several troubles')
+    parser.add_argument('--mixed',
+                        type=int,
+                        help='number of days with several faults')
     parser.add_argument('--seed', default='1')
     args = parser.parse_args()
     base = _quiet_day(args.site_file)
--- a/bench/relay_capacity.py
+++ b/bench/relay_capacity.py
@@ -1,9 +1,9 @@
-"""Measures what a relay entry costs: at rest, and for a request.
+"""Measures the cost of a relay entry: while idle, and per request.
 
 Usage: python bench/relay_capacity.py
 
-One real entry process against the stand-ins of the platform, on loopback.
-Processor time is the process's own, over ``IDLE_S`` or a batch of requests.
+Runs one entry process with the platform's stand-ins on loopback. The CPU time
+is that of the entry process, over ``IDLE_S`` or a batch of requests.
 """
 
 import os
@@ -27,7 +27,7 @@
 
 
 def cpu_s(pid):
-    """Returns the processor time of a process, s."""
+    """Returns the CPU time of a process, s."""
     fields = pathlib.Path(f'/proc/{pid}/stat').read_text().rpartition(')')[2]
     user, kernel = fields.split()[11:13]
     return (int(user) + int(kernel)) / TICKS_PER_S
@@ -42,49 +42,49 @@
 
 
 def measure(replicas, routes):
-    """Prints one row: an entry with so many replica records and routes."""
-    with ports.allocator() as take, tempfile.TemporaryDirectory() as tmp:
-        site = standin.Site(tmp, take)
+    """Prints a row for an entry with this many replica records and routes."""
+    with ports.allocator() as allocate, tempfile.TemporaryDirectory() as tmp:
+        site = standin.Site(tmp, allocate)
         plain = site.add('p1', 'plain')
         site.add('e1', 'pool')
         for i in range(replicas - 2):
             site.store.put('keyed.servers', f'x{i}',
                            plain.record() | {'service': 'pool-b'})
-        more = [
+        routes_added = [
             standin.route(f'r{i}', f'/x{i}/', 'idempotent', 'plain')
             for i in range(routes)
         ]
         cfg = standin.config(1)
-        cfg['routes'] += more
+        cfg['routes'] += routes_added
         site.store.put('keyed.op', 'config', cfg)
         site.start()
         waiting.until(lambda: wire_callers.status(site.readiness) == 200,
                       'ready')
         try:
-            _rows(site, replicas, routes)
+            _print_row(site, replicas, routes)
         finally:
             site.close()
 
 
-def _rows(site, replicas, routes):
+def _print_row(site, replicas, routes):
     pid = site.proc.pid
     time.sleep(1.0)
     before, calls = cpu_s(pid), sum(site.store.calls.values())
     time.sleep(IDLE_S)
-    rest = (cpu_s(pid) - before) / IDLE_S
+    idle_share = (cpu_s(pid) - before) / IDLE_S
     calls = (sum(site.store.calls.values()) - calls) / IDLE_S
     row = [
-        f'replicas {replicas}', f'routes {routes}', f'rest {rest:.2%}',
+        f'replicas {replicas}', f'routes {routes}', f'idle {idle_share:.2%}',
         f'{calls:.1f} calls/s'
     ]
     for kind, path in (('plain', '/i/x'), ('stream', '/s/x')):
         before = cpu_s(pid)
         for i in range(REQUESTS_PER_KIND):
-            reply = wire_callers.send_request(site.callers,
-                                              path,
-                                              f'{kind}{i}',
-                                              body=b'x')
-            assert reply.status == 200, reply
+            res = wire_callers.send_request(site.callers,
+                                            path,
+                                            f'{kind}{i}',
+                                            body=b'x')
+            assert res.status == 200, res
         row.append(
             f'{kind} {(cpu_s(pid) - before) / REQUESTS_PER_KIND * 1000:.2f} ms')
     row.append(f'{rss_mb(pid):.1f} MB')
--- a/bench/series.py
+++ b/bench/series.py
@@ -1,10 +1,11 @@
-"""Table and plot of one series of played days, from journal entries.
+"""Prints a table and draws a plot of one series of days from the journal.
 
 Usage: python bench/series.py [--journal DIR] [--out FILE.png]
 
-Takes the newest entry of each site and policy whose reason begins with
-``series: POLICY`` and prints, per site and day, the score and the share of
-worth earned by each kind of request, whole and without what was paid for.
+For each site and policy it takes the newest journal entry whose reason starts
+with ``series: POLICY``. For each day it prints the score, the share of worth
+earned by each kind of request, the refused and failed shares, and the sum of
+the prices paid.
 """
 
 import argparse
@@ -18,11 +19,11 @@
     'hollinbrook-labelcalc':
         ('dossier', 'reconcile', 'allergen', 'panel', 'claim'),
 }
-"""Kinds of request in the order of each site's load sheet."""
+"""Kinds of request by site, in the order of the site's load sheet."""
 
 
 def newest_entries(journal):
-    """Returns ``{(site, policy): entry}`` of the newest of each."""
+    """Returns the newest journal entries as ``{(site, policy): entry}``."""
     found = {}
     for path in sorted(pathlib.Path(journal).glob('*.json')):
         entry = json.loads(path.read_text(encoding='utf-8'))
@@ -44,31 +45,33 @@
 
 
 def table(found, site):
-    """Yields the lines of a site's table."""
+    """Yields the lines of a site's Markdown table."""
     kinds = KINDS_BY_SITE[site]
     yield '| day | policy | score | ' + ' | '.join(
         kinds) + ' | refused | failed | paid |'
     yield '|---' * (6 + len(kinds)) + '|'
-    mine = {p: _days(found[site, p]) for p in POLICIES if (site, p) in found}
-    for row in zip(*mine.values(), strict=True):
-        for policy, day in zip(mine, row, strict=True):
+    days_by_policy = {
+        p: _days(found[site, p]) for p in POLICIES if (site, p) in found
+    }
+    for row in zip(*days_by_policy.values(), strict=True):
+        for policy, day in zip(days_by_policy, row, strict=True):
             yield _row(policy, day)
-    for policy in mine:
+    for policy in days_by_policy:
         yield f'{policy}: site score {found[site, policy]["score"]:.3f}  '
 
 
 def plot(found, path):
-    """Draws each day's score by policy, a panel a site."""
+    """Draws the score of each day by policy, with a panel for each site."""
     from matplotlib import pyplot
     fig, axes = pyplot.subplots(len(KINDS_BY_SITE),
                                 1,
                                 figsize=(9, 6),
                                 sharey=True)
     for ax, site in zip(axes, KINDS_BY_SITE, strict=True):
-        mine = [p for p in POLICIES if (site, p) in found]
-        for i, policy in enumerate(mine):
+        policies = [p for p in POLICIES if (site, p) in found]
+        for i, policy in enumerate(policies):
             days = _days(found[site, policy])
-            at = [x + (i - len(mine) / 2) * 0.2 for x in range(len(days))]
+            at = [x + (i - len(policies) / 2) * 0.2 for x in range(len(days))]
             ax.bar(at, [d['score'] for d in days], 0.18, label=policy)
         ax.set_xticks(range(len(days)), [d['name'] for d in days])
         ax.set_ylabel('score')
--- a/bench/table_cost.py
+++ b/bench/table_cost.py
@@ -1,6 +1,6 @@
-"""What it costs an entry to take a configuration apart, by its size.
+"""Measures the CPU time of decoding a configuration, by its size.
 
-Run: python bench/table_cost.py
+Usage: python bench/table_cost.py
 """
 
 import json
@@ -15,8 +15,8 @@
 from gorsefall.relay import changes  # noqa: E402
 
 SIZES = ((1_400, 24), (4_200, 24), (3_000, 1_200))
-"""Routes and client accounts: of today's deployments as they grow, and of the
-two-year size."""
+"""Routes and client accounts: the first two rows are present deployments and
+their growth, the third is the size planned for in two years."""
 
 REPEATS = 5
 
@@ -56,21 +56,22 @@
     }
 
 
-def _least_ms(record):
-    spent = []
+def _decode_ms(record):
+    """Returns the shortest CPU time of several runs, which has least noise."""
+    times_s = []
     for _ in range(REPEATS):
         before = time.process_time()
         records.Records().decode_table(record)
-        spent.append(time.process_time() - before)
-    return min(spent) * 1000
+        times_s.append(time.process_time() - before)
+    return min(times_s) * 1000
 
 
 def main():
-    """Prints a line for each size."""
+    """Prints a row for each size."""
     print('routes  accounts      KB      ms')
     for routes, accounts in SIZES:
         raw = json.dumps(_config(routes, accounts)).encode()
-        spent_ms = _least_ms(changes.Record('config', raw, 1))
+        spent_ms = _decode_ms(changes.Record('config', raw, 1))
         print(f'{routes:6} {accounts:9} {len(raw) / 1000:7.0f} {spent_ms:7.1f}')
 
 
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,4 +1,4 @@
-"""Runs the main job on the embedded default: stand-ins, two entries, load.
+"""Runs ``gorsefall demo`` on an example site: stand-ins, two entries, load.
 
 Usage: python scripts/demo.py [authority|hollinbrook]
 """
@@ -12,7 +12,7 @@
 
 
 def main(site='authority'):
-    """Runs ``gorsefall demo`` on an example site; returns its status."""
+    """Runs the demo of an example site; returns the exit status."""
     return cmdline.main([
         'demo',
         str(ROOT / 'examples' / site),
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Runs every test: behave contract features, then pytest (hypothesis).
-# Tests listed in KNOWN-RED.txt (at most three) are reported, not failed: lines with
-# a pytest id or a feature file before the first semicolon. What else a line
-# begins with is no test of this script and only printed.
+# Runs all tests: the behave features, then pytest.
+# Tests listed in KNOWN-RED.txt (at most three) are printed and left out of the
+# run. A line names its test, a pytest ID or a feature file, before the first
+# semicolon. Other lines are only printed.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 known=()
@@ -26,11 +26,11 @@
 if ! python -m behave --format plain --outfile out/behave.log \
     --format progress "${excl[@]+"${excl[@]}"}" features; then
   status=1
-  # The short format names what failed; this says why.
+  # The progress format only names the failed steps; the log has the details.
   grep -B10 -A14 -E 'FAILED|Traceback' out/behave.log || true
 fi
 python -m pytest -q "${desel[@]+"${desel[@]}"}" tests platform/tests
 rc=$?
-# pytest's exit 5 means it collected no tests: not a failure of ours.
+# pytest exits with 5 if it collected no tests, which is not a failure.
 if [ $rc -ne 0 ] && [ $rc -ne 5 ]; then status=1; fi
 exit $status
