--- a/gorsefall/standins/__init__.py
+++ b/gorsefall/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform's systems, each a separate process."""
+"""Stand-ins for the systems an entry talks to, one process each."""
--- a/gorsefall/standins/acceptor.py
+++ b/gorsefall/standins/acceptor.py
@@ -1,7 +1,7 @@
-"""A plain server for scripted peers: one thread a connection.
+"""Base of scripted test servers: a TCP server with a thread per connection.
 
-Scripted peers break the rules of HTTP on purpose, which a web framework does
-not let them; threads keep their scripts readable from top to bottom.
+Scripted servers violate HTTP on purpose, which web frameworks prevent. With a
+thread per connection, a script is sequential code.
 """
 
 import contextlib
@@ -11,11 +11,11 @@
 
 
 class Acceptor:
-    """Listens on a free port; subclasses talk in ``serve_connection``.
+    """Accepts connections on a free port; subclasses serve them.
 
     Attributes:
         address: ``(host, port)`` it listens on.
-        accepted: Number of connections so far.
+        accepted: Number of accepted connections.
     """
 
     def __init__(self):
@@ -33,20 +33,20 @@
                 return
             self.accepted += 1
             self._conns.add(sock)
-            threading.Thread(target=self._run, args=(sock,),
+            threading.Thread(target=self._serve, args=(sock,),
                              daemon=True).start()
 
-    def _run(self, sock):
+    def _serve(self, sock):
         with contextlib.suppress(OSError), sock:
             self.serve_connection(sock)
 
     def serve_connection(self, sock):
-        """Talks with the peer until it returns; errors of the socket end it."""
+        """Serves one connection, which closes on return or on ``OSError``."""
         raise NotImplementedError
 
     def stop_listening(self):
-        """Gives the port back; open connections stay."""
-        # Without it a thread that waits for a connection keeps the port.
+        """Releases the port; open connections stay open."""
+        # Without the shutdown, a thread blocked in accept() keeps the port.
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
         self._sock.close()
@@ -58,13 +58,13 @@
         self._conns.clear()
 
     def close(self):
-        """Stops listening and resets what is open."""
+        """Releases the port and resets the open connections."""
         self.stop_listening()
         self.reset_connections()
 
 
 def reset_connection(sock):
-    """Closes ``sock`` with a reset."""
+    """Closes ``sock`` with a TCP reset."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
                         struct.pack('ii', 1, 0))
--- a/gorsefall/standins/base.py
+++ b/gorsefall/standins/base.py
@@ -1,4 +1,4 @@
-"""What every stand-in shares: a web app, fault switches and a control route."""
+"""Base of all stand-ins: web app, fault switches and control route."""
 
 import msgspec
 from circuits import core
@@ -12,26 +12,30 @@
 MAX_BODY_BYTES = 1 << 20
 
 UNDELAYED_PATHS = ('/control', '/stats')
-"""Routes for tests; the delay switch leaves them alone."""
+"""Routes for tests, which ``Faults.delay_ms`` does not delay."""
 
 
 class Faults(msgspec.Struct, kw_only=True):
-    """Fault switches a test flips with ``POST /control``.
+    """Fault switches, set by tests with ``POST /control``.
 
     Attributes:
-        outage: Every route but ``/control`` answers 503.
-        delay_ms: Extra time before each reply, ms.
+        outage: ``/generate``, ``/call``, ``/load``, ``/streams``, ``/vms`` and
+            ``/weights`` respond with 503.
+        delay_ms: Delay before each response, ms.
         lose_reply: The next N writes take effect, then the connection is
-            closed with no reply.
-        cut_reply: Services: the next N replies break off half way.
-        crash_after: Engines: cut each stream after this many tokens (-1 off).
-        mute: Engines: the next N streams go silent without closing.
-        stall: Engines stop stepping; streams go silent.
-        slow: Engines emit tokens only every this many steps (a straggler).
-        lag_s: Load reports, cache events and VM list lag this much, s.
-        max_appends_per_s: Log service: lowers its append limit (0 off).
-        drop_events: Engines: share of cache events never published, 0..1.
-        check_fence: Engines and services refuse stale fencing numbers.
+            closed without a response.
+        cut_reply: Services: the next N responses are truncated in the middle.
+        crash_after: Engines: each stream is truncated after this many tokens
+            (-1: off).
+        mute: Engines: the next N streams send no data and stay open.
+        stall: Engines: no steps and no heartbeats; streams send no data.
+        slow: Slow-down factor: engines run every N-th step only; services take
+            N times as long for a call.
+        lag_s: Age of load reports, cache events and the VM list, s.
+        max_appends_per_s: Log service: replaces its append limit (0: off).
+        drop_events: Engines: share of cache events that are not published,
+            0 to 1.
+        check_fence: Engines and services refuse stale fencing tokens.
     """
     outage: bool = False
     delay_ms: float = 0.0
@@ -48,7 +52,7 @@
 
 
 class StandIn(web.Controller):
-    """Base controller: ``/control``, ``/healthz`` and the outage switch."""
+    """Base controller: ``/control``, ``/healthz`` and the common faults."""
     channel = '/'
 
     def __init__(self, *args, **kwargs):
@@ -57,18 +61,18 @@
         self._delayed = set()
 
     def control(self, *args, **kwargs):
-        """Merges the posted JSON into the fault switches; returns them."""
+        """POST /control: merges the body into ``faults`` and returns them."""
         body = replies.read_json(self.request, MAX_BODY_BYTES)
         merged = msgspec.structs.asdict(self.faults) | body
         self.faults = msgspec.convert(merged, Faults)
         return replies.json_body(self.response, self.faults)
 
     def healthz(self):
-        """Says the process is up."""
+        """GET /healthz: responds once the process is up."""
         return replies.json_body(self.response, {'ok': True})
 
-    def _down(self):
-        """Returns a 503 reply when the outage switch is on, else None."""
+    def _outage_response(self):
+        """Returns a 503 response during a simulated outage, else None."""
         if self.faults.outage:
             return replies.json_body(
                 self.response, {
@@ -80,11 +84,11 @@
                 }, 503)
         return None
 
-    def _lose(self, sock):
-        """Closes ``sock`` with no reply when a lost reply is due.
+    def _lose_response(self, sock):
+        """Closes ``sock`` without a response if ``lose_reply`` is set.
 
         Returns:
-            True when the reply was dropped.
+            True if the connection was closed.
         """
         if self.faults.lose_reply <= 0:
             return False
@@ -92,11 +96,11 @@
         self.fire(net_events.close(sock), replies.WEB_CHANNEL)
         return True
 
-    def _cut(self, sock, obj):
-        """Sends half of a reply, then closes, when a cut reply is due.
+    def _truncate_response(self, sock, obj):
+        """Sends half of a response and closes if ``cut_reply`` is set.
 
         Returns:
-            True when the reply was cut.
+            True if the response was truncated.
         """
         if self.faults.cut_reply <= 0:
             return False
@@ -111,8 +115,9 @@
 
     @core.handler('response', channel=replies.WEB_CHANNEL, priority=100)
     def _on_response(self, event, res):
+        # Fires a delayed response a second time after its delay.
         delay_s = self.faults.delay_ms / 1000.0
-        if not delay_s or res in self._delayed or self._is_control(res):
+        if not delay_s or res in self._delayed or self._is_undelayed(res):
             self._delayed.discard(res)
             return
         event.stop()
@@ -120,15 +125,20 @@
         core.Timer(delay_s, web_events.response(res),
                    replies.WEB_CHANNEL).register(self)
 
-    def _is_control(self, res):
+    def _is_undelayed(self, res):
         return res.request.path.startswith(UNDELAYED_PATHS)
 
 
 def serve(controller, addr, extra=()):
-    """Builds the app of a stand-in listening on ``addr`` ``(host, port)``.
+    """Builds the app of a stand-in.
+
+    Args:
+        controller: The stand-in's ``StandIn``.
+        addr: ``(host, port)`` to listen on.
+        extra: Further components to register.
 
     Returns:
-        The root circuits component; call ``run()`` on it.
+        The root circuits component; ``run()`` starts it.
     """
     app = web.Server(addr, channel=replies.WEB_CHANNEL)
     pollers.EPoll().register(app)
--- a/gorsefall/standins/engine.py
+++ b/gorsefall/standins/engine.py
@@ -1,6 +1,6 @@
-"""Model engine stand-in: continuous batching over a fixed step, streamed.
+"""Model engine stand-in: continuous batching in fixed steps, streamed output.
 
-Protocol (NDJSON over chunked HTTP) is in docs/PROTOCOLS.md.
+The protocol, NDJSON over chunked HTTP, is described in docs/PROTOCOLS.md.
 """
 
 import collections
@@ -18,62 +18,78 @@
 from gorsefall.standins import base
 
 BLOCK_WORDS = 32
-"""Words (here: tokens) of a prompt that are cached together."""
+"""Words per block of the prefix cache; a word counts as a token."""
 
 HEARTBEAT_INTERVAL_S = 0.5
 MAX_STEPS_PER_TICK = 50
 
 
 class _Step(core.Event):
-    """Advances the batch by the steps that are due."""
+    """Timer event: advances the batch by the steps that are due."""
     name = 'engine_step'
 
 
 @dataclasses.dataclass
-class _Seq:
+class _Sequence:
+    """A request in the batch or waiting for a place in it.
+
+    Attributes:
+        order: The request.
+        reply: The stream to the caller.
+        length: Length of the whole completion, tokens.
+        pos: Tokens generated, counted from the start of the completion.
+        prefill: Prompt tokens still to be prefilled.
+        sent: Tokens generated for this request, without those resumed from.
+        first_pending: Position of the first token in ``pending``.
+        pending: Tokens generated and not yet written to the stream.
+        last_write_at: Time of the last line or heartbeat, monotonic s.
+    """
     order: messages.GenerateOrder
-    out: replies.ChunkedReply
+    reply: replies.ChunkedReply
     length: int
     pos: int
     prefill: int
     sent: int = 0
-    first: int = 0
-    held: list = dataclasses.field(default_factory=list)
-    beat_at: float = 0.0
+    first_pending: int = 0
+    pending: list = dataclasses.field(default_factory=list)
+    last_write_at: float = 0.0
 
 
 def completion_length(prompt, seed, lo=8, hi=120):
-    """Returns the stand-in's answer length in tokens for ``prompt``.
+    """Returns the length in tokens of the completion of ``prompt``.
 
-    Callers cannot know it in advance; it is fixed per prompt and seed so a
-    re-run of the same request gives the same answer. Lengths are skewed:
-    most answers are short, a few are near ``hi``.
+    The length depends only on the prompt and the seed, so a second run of the
+    same request gives the same completion. The distribution is skewed: most
+    completions are short, a few are near ``hi``.
     """
     rng = random.Random(xxhash.xxh64_intdigest(prompt.encode(), seed=seed))
     return lo + int((hi - lo) * rng.random()**2)
 
 
 def block_digests(prompt):
-    """Returns the chained digests of the prompt's full blocks of words."""
+    """Returns a digest per full block, each chained to the one before it."""
     words = prompt.split()
-    out = []
+    digests = []
     chain = xxhash.xxh64()
     for i in range(0, len(words) - BLOCK_WORDS + 1, BLOCK_WORDS):
         chain.update(' '.join(words[i:i + BLOCK_WORDS]).encode())
-        out.append(chain.hexdigest())
-    return out
+        digests.append(chain.hexdigest())
+    return digests
 
 
 class Engine(base.StandIn):
-    """The engine's routes and its batch.
+    """Serves the engine's routes and steps its batch.
 
     Attributes:
-        step_s: Seconds per engine step.
-        max_batch: Sequences stepped together.
-        event_tokens: Tokens gathered into one line of a stream.
-        prefill_per_ms: Prompt tokens read in a millisecond.
-        cache_blocks: Prompt blocks kept in the prefix cache.
-        lo, hi: Bounds of answer lengths, tokens.
+        step_s: Length of an engine step, s.
+        max_batch: Maximum number of running sequences.
+        event_tokens: Tokens per line of a stream.
+        prefill_per_step: Prompt tokens prefilled in a step, over all sequences.
+        cache_blocks: Maximum number of blocks in the prefix cache.
+        lo, hi: Bounds of the completion length, tokens.
+        seed: Seed for the completion lengths.
+        orders: Bodies of the accepted ``/order`` requests.
+        totals: Counters shown by ``/stats``.
     """
 
     def __init__(self,
@@ -98,50 +114,51 @@
         self._waiting = []
         self._running = {}
         self._cache = collections.OrderedDict()
-        self._events = []
-        self._event_seq = 0
-        self._loads = collections.deque(maxlen=1000)
-        self._fence = 0
-        self._steps = 0
-        self._last = None
+        self._cache_events = []
+        self._last_event_seq = 0
+        self._load_history = collections.deque(maxlen=1000)
+        self._max_fence = 0
+        self._step_count = 0
+        self._stepped_until = None
         self.orders = []
         self.totals = collections.Counter(tokens_out=0, answers=0)
 
     @core.handler('started', channel='*')
     def _on_started(self, component):
         del component
-        self._last = time.monotonic()
+        self._stepped_until = time.monotonic()
         core.Timer(self.step_s, _Step(), self.channel,
                    persist=True).register(self)
 
     # -- routes ------------------------------------------------------------
 
     def generate(self, *args, **kwargs):
-        """POST /generate: a ``GenerateOrder`` in, a stream of ``Event`` out."""
-        if (reply := self._down()) is not None:
-            return reply
+        """POST /generate: streams ``Event`` lines for a ``GenerateOrder``."""
+        if (outage := self._outage_response()) is not None:
+            return outage
         order = replies.read_json(self.request, base.MAX_BODY_BYTES,
                                   messages.GenerateOrder)
         length = min(
             completion_length(order.prompt, self.seed, self.lo, self.hi),
             order.max_tokens)
-        out = replies.start_chunked(self, self.response, 'application/x-ndjson')
+        reply = replies.start_chunked(self, self.response,
+                                      'application/x-ndjson')
         self._waiting.append(
-            _Seq(order,
-                 out,
-                 length,
-                 order.resume_from,
-                 self._to_prefill(order),
-                 beat_at=time.monotonic()))
-        return out.res
+            _Sequence(order,
+                      reply,
+                      length,
+                      order.resume_from,
+                      self._cache_prompt(order),
+                      last_write_at=time.monotonic()))
+        return reply.res
 
     def cancel(self, *args, **kwargs):
-        """POST /cancel {"id"}: stops a sequence; its stream ends."""
+        """POST /cancel {"id"}: stops a sequence and ends its stream."""
         body = replies.read_json(self.request, base.MAX_BODY_BYTES)
         seq = self._find(body.get('id'))
         if seq is not None:
             self._drop(seq)
-            seq.out.end()
+            seq.reply.end()
         return replies.json_body(self.response, {'cancelled': seq is not None})
 
     def priority(self, *args, **kwargs):
@@ -155,59 +172,62 @@
 
     def load(self):
         """GET /load: a ``LoadReport`` as of ``lag_s`` ago."""
-        if (reply := self._down()) is not None:
-            return reply
+        if (outage := self._outage_response()) is not None:
+            return outage
         now = time.time()
         report = self._current_load(now)
-        for old in self._loads:
+        for old in self._load_history:
             if old.at <= now - self.faults.lag_s:
                 report = old
         return replies.json_body(self.response, report)
 
     def events(self, since='0'):
-        """GET /events?since=N: cache events published late and with gaps."""
+        """GET /events?since=N: cache events after N, late and with gaps."""
         cutoff = time.time() - self.faults.lag_s
-        out = [e for t, e in self._events if e.seq > int(since) and t <= cutoff]
-        return replies.json_body(self.response, out)
+        events = [
+            e for t, e in self._cache_events
+            if e.seq > int(since) and t <= cutoff
+        ]
+        return replies.json_body(self.response, events)
 
     def order(self, *args, **kwargs):
-        """POST /order {"kind", "value", "fence"}: load a model, change role.
+        """POST /order {"kind", "value", "fence"}: loads a model, changes role.
 
-        With ``check_fence`` on, an order whose fence is older than one
-        already seen is refused with 409; with it off, it is obeyed.
+        With ``check_fence`` on, an order with a fencing token below the highest
+        one received is refused with 409. With it off, it is accepted.
         """
         body = replies.read_json(self.request, base.MAX_BODY_BYTES)
         fence = int(body.get('fence', 0))
-        if self.faults.check_fence and fence < self._fence:
+        if self.faults.check_fence and fence < self._max_fence:
             return replies.json_body(
                 self.response, {
                     'error': {
                         'code': 'stale_fence',
-                        'message': f'{fence} < {self._fence}'
+                        'message': f'{fence} < {self._max_fence}'
                     }
                 }, 409)
-        self._fence = max(self._fence, fence)
+        self._max_fence = max(self._max_fence, fence)
         self.orders.append(body)
         return replies.json_body(self.response, {'ok': True, 'fence': fence})
 
     def kv(self, action='export', *args, **kwargs):
-        """POST /kv/export {"id"} or /kv/import {"blocks"}: KV transfer."""
+        """POST /kv/export {"id"}, /kv/import {"blocks"}: KV cache transfer."""
         body = replies.read_json(self.request, base.MAX_BODY_BYTES)
         if action == 'export':
             seq = self._find(body.get('id'))
-            known = block_digests(seq.order.prompt) if seq else []
+            digests = block_digests(seq.order.prompt) if seq else []
             return replies.json_body(
                 self.response, {
                     'id': body.get('id'),
                     'tokens': seq.pos if seq else 0,
-                    'blocks': known
+                    'blocks': digests
                 })
         for block in body.get('blocks', []):
-            self._touch(block)
+            self._cache_block(block)
         return replies.json_body(self.response, {'ok': True})
 
     def stats(self):
-        """GET /stats: totals the tests and the bench read."""
+        """GET /stats: orders, sequences and totals, for tests and bench."""
         return replies.json_body(
             self.response, {
                 'orders': self.orders,
@@ -238,67 +258,68 @@
                                    at=now,
                                    by_entry=by_entry)
 
-    def _to_prefill(self, order):
-        known = block_digests(order.prompt)
-        hit = 0
-        for block in known:
+    def _cache_prompt(self, order):
+        """Caches the prompt's blocks; returns the tokens left to prefill."""
+        digests = block_digests(order.prompt)
+        cached = 0
+        for block in digests:
             if block not in self._cache:
                 break
-            hit += 1
-        for block in known:
-            self._touch(block)
+            cached += 1
+        for block in digests:
+            self._cache_block(block)
         total = len(order.prompt.split()) + len(order.prior.split())
-        cold = total - hit * BLOCK_WORDS
+        uncached = total - cached * BLOCK_WORDS
         self.totals['prompt_tokens'] += total
-        self.totals['prefill_tokens'] += cold
-        return cold
+        self.totals['prefill_tokens'] += uncached
+        return uncached
 
-    def _touch(self, block):
+    def _cache_block(self, block):
         if block in self._cache:
             self._cache.move_to_end(block)
             return
         self._cache[block] = True
         self._publish('stored', block)
         while len(self._cache) > self.cache_blocks:
-            old, _ = self._cache.popitem(last=False)
-            self._publish('removed', old)
+            evicted, _ = self._cache.popitem(last=False)
+            self._publish('removed', evicted)
 
     def _publish(self, kind, block):
-        self._event_seq += 1
+        self._last_event_seq += 1
         if random.random() < self.faults.drop_events:
             return
-        self._events.append((time.time(),
-                             messages.CacheEvent(seq=self._event_seq,
-                                                 kind=kind,
-                                                 block=block)))
-        del self._events[:-1000]
+        self._cache_events.append((time.time(),
+                                   messages.CacheEvent(seq=self._last_event_seq,
+                                                       kind=kind,
+                                                       block=block)))
+        del self._cache_events[:-1000]
 
     @core.handler('engine_step')
     def _on_step(self):
-        # Steps that are due are made up, so that the stand-in's speed does
-        # not depend on how busy the machine is.
+        # A late timer runs the steps that are due, so that the stand-in's
+        # speed does not depend on the load of the VM.
         now = time.monotonic()
-        due = int((now - self._last) / self.step_s)
-        self._last += due * self.step_s
+        due = int((now - self._stepped_until) / self.step_s)
+        self._stepped_until += due * self.step_s
         for _ in range(min(due, MAX_STEPS_PER_TICK)):
             self._step()
         if not self.faults.stall:
-            self._beat(now)
+            self._send_heartbeats(now)
         wall = time.time()
-        if not self._loads or wall - self._loads[-1].at >= 0.02:
-            self._loads.append(self._current_load(wall))
+        if not self._load_history or wall - self._load_history[-1].at >= 0.02:
+            self._load_history.append(self._current_load(wall))
 
     def _step(self):
-        self._steps += 1
-        if self.faults.stall or self._steps % max(1, self.faults.slow):
+        self._step_count += 1
+        if self.faults.stall or self._step_count % max(1, self.faults.slow):
             return
         self._admit()
         budget = self.prefill_per_step
         for seq in list(self._running.values()):
-            if seq.out.closed:
+            if seq.reply.closed:
                 self._drop(seq)
             elif seq.prefill > 0:
-                # Prompts are read one after the other, within the step.
+                # Sequences share the step's prefill budget in order.
                 used = min(budget, seq.prefill)
                 seq.prefill -= used
                 budget -= used
@@ -310,61 +331,66 @@
         while self._waiting and len(self._running) < self.max_batch:
             seq = self._waiting.pop(0)
             self._running[seq.order.id] = seq
-        # Honour priorities: a waiting request may preempt the least urgent
-        # running one, which goes back to waiting and resumes later.
-        for top in [s for s in self._waiting if s.order.preempt]:
-            low = max(self._running.values(), key=lambda s: s.order.priority)
-            if top.order.priority >= low.order.priority:
+        # A waiting request may preempt the least urgent running one, which
+        # goes back to waiting and resumes later.
+        for urgent in [s for s in self._waiting if s.order.preempt]:
+            victim = max(self._running.values(), key=lambda s: s.order.priority)
+            if urgent.order.priority >= victim.order.priority:
                 break
-            self.totals[f'preempted_{low.order.priority}'] += 1
-            self._drop(low)
-            self._drop(top)
-            self._waiting.append(low)
-            self._running[top.order.id] = top
-
-    def _beat(self, now):
-        # A waiting or preempted request is silent for long; without a sign
-        # of life the entry could not tell that from a dead connection.
+            self.totals[f'preempted_{victim.order.priority}'] += 1
+            self._drop(victim)
+            self._drop(urgent)
+            self._waiting.append(victim)
+            self._running[urgent.order.id] = urgent
+
+    def _send_heartbeats(self, now):
+        # A waiting or preempted request produces no tokens for a long time;
+        # without heartbeats the entry could not tell its stream from a dead
+        # connection.
         for seq in (*self._running.values(), *self._waiting):
-            if now - seq.beat_at >= HEARTBEAT_INTERVAL_S:
-                seq.beat_at = now
-                self._line(seq, messages.Event())
+            if now - seq.last_write_at >= HEARTBEAT_INTERVAL_S:
+                seq.last_write_at = now
+                self._write_event(seq, messages.Event())
 
-    def _line(self, seq, event):
-        seq.out.send(msgspec.json.encode(event) + b'\n')
+    def _write_event(self, seq, event):
+        seq.reply.send(msgspec.json.encode(event) + b'\n')
 
     def _advance(self, seq):
         if 0 <= self.faults.crash_after <= seq.sent:
-            # Crash mid-answer: the stream is cut without its last line.
+            # Simulates a crash: the stream ends without its last line.
             self._drop(seq)
-            seq.out.closed = True
-            self.fire(net_events.close(seq.out.res.request.sock),
+            seq.reply.closed = True
+            self.fire(net_events.close(seq.reply.res.request.sock),
                       replies.WEB_CHANNEL)
             return
         if seq.pos < seq.length:
-            if not seq.held:
-                seq.first = seq.pos
-            seq.held.append(f'w{seq.pos} ')
+            if not seq.pending:
+                seq.first_pending = seq.pos
+            seq.pending.append(f'w{seq.pos} ')
             seq.pos += 1
             seq.sent += 1
             self.totals['tokens_out'] += 1
-        ended = seq.pos >= seq.length
-        if seq.held and (ended or len(seq.held) >= self.event_tokens):
+        done = seq.pos >= seq.length
+        if seq.pending and (done or len(seq.pending) >= self.event_tokens):
             self._flush(seq)
-        if ended:
+        if done:
             self.totals['answers'] += 1
             self._drop(seq)
-            self._line(seq, messages.Event(done=True, reason='stop', n=seq.pos))
-            seq.out.end()
+            self._write_event(
+                seq, messages.Event(done=True, reason='stop', n=seq.pos))
+            seq.reply.end()
 
     def _flush(self, seq):
         if self.faults.mute:
-            # The connection has gone silent for good; new ones work.
+            # Simulates a connection that sends no more data and stays open;
+            # new connections work.
             self.faults.mute -= 1
             self._drop(seq)
             return
-        seq.beat_at = time.monotonic()
-        self._line(
+        seq.last_write_at = time.monotonic()
+        self._write_event(
             seq,
-            messages.Event(i=seq.first, t=''.join(seq.held), n=len(seq.held)))
-        seq.held = []
+            messages.Event(i=seq.first_pending,
+                           t=''.join(seq.pending),
+                           n=len(seq.pending)))
+        seq.pending = []
--- a/gorsefall/standins/launch.py
+++ b/gorsefall/standins/launch.py
@@ -1,6 +1,6 @@
-"""Starts stand-ins and entries as separate processes, for demos and tests.
+"""Starts stand-ins and entries as processes, for demos, tests and benchmarks.
 
-Only this harness starts processes; no gorsefall daemon ever does.
+The daemons themselves start no processes.
 """
 
 import contextlib
@@ -18,8 +18,8 @@
 from gorsefall.standins import waiting
 
 
-def _answer(addr, path):
-    """Returns the decoded answer of a process, None while there is none."""
+def _get_json(addr, path):
+    """Returns the decoded response, or None if the request failed."""
     try:
         with urllib.request.urlopen(f'http://{addr}{path}', timeout=1) as res:
             return msgspec.json.decode(res.read())
@@ -28,14 +28,17 @@
 
 
 def wait_ready(listens):
-    """Waits until each entry, by its ``host:port``, is ready for work.
+    """Waits until every entry reports that it is ready.
+
+    Args:
+        listens: ``host:port`` of each entry.
 
     Raises:
-        waiting.WaitTimeoutError: One is not in time.
+        waiting.WaitTimeoutError: An entry was not ready in time.
     """
     for addr in listens:
         waiting.until(lambda addr=addr:
-                      (_answer(addr, '/readyz') or {}).get('ready'),
+                      (_get_json(addr, '/readyz') or {}).get('ready'),
                       f'{addr} to be ready')
 
 
@@ -43,8 +46,8 @@
     """Sets one VM's ``messages.VmEntry`` on the VM list stand-in.
 
     Args:
-        vm_list: ``host:port`` of the stand-in.
-        **fields: The entry's fields.
+        vm_list: ``host:port`` of the VM list.
+        **fields: Fields of the ``VmEntry``.
     """
     body = msgspec.json.encode(messages.VmEntry(**fields))
     req = urllib.request.Request(f'http://{vm_list}/vms',
@@ -60,20 +63,20 @@
 
     Args:
         site_dir: Folder with ``standins.txt`` and ``entry-*.toml``.
-        log_dir: Folder for each process's JSON-line log.
-        entries: Entry settings file names to start (default all).
-        opts: ``kind -> [NAME=VALUE]`` constructor options of stand-ins.
+        log_dir: Folder for the logs, one file per process.
+        entries: Names of the entry settings files to start (default: all).
+        opts: ``kind -> [NAME=VALUE]``, parameters of the stand-ins.
 
     Yields:
         A dict ``name -> subprocess.Popen``.
     """
     site = pathlib.Path(site_dir)
-    logs_at = pathlib.Path(log_dir)
-    logs_at.mkdir(parents=True, exist_ok=True)
+    logs = pathlib.Path(log_dir)
+    logs.mkdir(parents=True, exist_ok=True)
     procs = {}
     addrs = []
     vm_list = None
-    started = []
+    started_entries = []
     try:
         for line in (site / 'standins.txt').read_text().splitlines():
             if not line or line.startswith('#'):
@@ -87,9 +90,9 @@
             ]
             if kind in ('engine', 'service'):
                 cmd += ['--opt', f'name={name}']
-            for o in (opts or {}).get(kind, []):
-                cmd += ['--opt', o]
-            procs[name] = _spawn(cmd, logs_at / f'{name}.log')
+            for opt in (opts or {}).get(kind, []):
+                cmd += ['--opt', opt]
+            procs[name] = _spawn(cmd, logs / f'{name}.log')
             addrs.append(addr)
         for path in sorted(site.glob('entry-*.toml')):
             if entries is not None and path.name not in entries:
@@ -97,13 +100,13 @@
             cfg = settings.load(path)
             procs[cfg.entry.name] = _spawn(
                 [sys.executable, '-m', 'gorsefall', 'entry',
-                 str(path)], logs_at / f'{cfg.entry.name}.log')
+                 str(path)], logs / f'{cfg.entry.name}.log')
             addrs.append(cfg.entry.listen)
-            started.append(cfg.entry)
+            started_entries.append(cfg.entry)
         for addr in addrs:
-            waiting.until(lambda addr=addr: _answer(addr, '/healthz'),
+            waiting.until(lambda addr=addr: _get_json(addr, '/healthz'),
                           f'{addr} to come up')
-        for entry in started:
+        for entry in started_entries:
             set_vm(vm_list,
                    name=entry.name,
                    addr=entry.listen,
@@ -111,15 +114,15 @@
                    role='entry')
         yield procs
     finally:
-        for p in procs.values():
-            if p.poll() is None:
-                p.send_signal(signal.SIGTERM)
-        for p in procs.values():
+        for proc in procs.values():
+            if proc.poll() is None:
+                proc.send_signal(signal.SIGTERM)
+        for proc in procs.values():
             try:
-                p.wait(timeout=10)
+                proc.wait(timeout=10)
             except subprocess.TimeoutExpired:
-                p.kill()
-                p.wait()
+                proc.kill()
+                proc.wait()
 
 
 def _spawn(cmd, log_path):
--- a/gorsefall/standins/ports.py
+++ b/gorsefall/standins/ports.py
@@ -1,7 +1,7 @@
-"""Free ports for a site's processes, so that sites do not disturb each other.
+"""Allocates free ports, so that several sites can run on one VM.
 
-Two suites on one machine with the same fixed ports talk to each other's
-processes (noticed as scenarios that fail only beside a second run).
+With fixed ports, two test runs on one VM connect to each other's processes,
+and scenarios fail only while a second run is active.
 """
 
 import contextlib
@@ -13,11 +13,11 @@
 import tempfile
 
 PORT_RANGE = range(20000, 32000)
-"""Below the kernel's range for outgoing connections, so that none of these
-is taken between being found free and being listened on."""
+"""Below the kernel's range for outgoing connections: one of these could
+otherwise occupy a port between the check and the call of ``listen``."""
 
-_LOCKS = pathlib.Path(tempfile.gettempdir()) / 'gorsefall-ports'
-_ADDRESS = re.compile(r'127\.0\.0\.1:(\d+)')
+_LOCK_DIR = pathlib.Path(tempfile.gettempdir()) / 'gorsefall-ports'
+_LOOPBACK_ADDRESS = re.compile(r'127\.0\.0\.1:(\d+)')
 
 
 def _is_free(port):
@@ -31,10 +31,10 @@
 
 
 def _lock(port):
-    """Returns the open lock file of ``port``, or None if it is taken."""
-    _LOCKS.mkdir(exist_ok=True)
-    # Closed by the caller's ExitStack; the lock lasts as long as the file.
-    file = open(_LOCKS / str(port), 'w', encoding='ascii')  # noqa: SIM115
+    """Returns the open lock file of ``port``, None if another run holds it."""
+    _LOCK_DIR.mkdir(exist_ok=True)
+    # The caller's ExitStack closes the file, which releases the lock.
+    file = open(_LOCK_DIR / str(port), 'w', encoding='ascii')  # noqa: SIM115
     try:
         fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
@@ -45,32 +45,32 @@
 
 @contextlib.contextmanager
 def allocator():
-    """Yields a function that gives a free port each time it is called.
+    """Yields a function that returns another free port on each call.
 
-    A port stays reserved against other suites until the context ends.
+    The ports stay locked against other test runs until the context ends.
     """
-    with contextlib.ExitStack() as held:
+    with contextlib.ExitStack() as locks:
 
-        def take():
+        def allocate():
             while True:
                 port = random.choice(PORT_RANGE)
                 file = _lock(port)
                 if file is None:
                     continue
-                held.enter_context(file)
+                locks.enter_context(file)
                 if _is_free(port):
                     return port
 
-        yield take
+        yield allocate
 
 
 @contextlib.contextmanager
 def copy_site(source, target):
-    """Copies a site's settings with every loopback port changed to a free one.
+    """Copies a site's files, replacing each loopback port by a free one.
 
     Args:
         source: Folder with the site's files.
-        target: Folder for the copies; made if missing.
+        target: Folder for the copies; created if missing.
 
     Yields:
         ``target`` as a path.
@@ -78,17 +78,18 @@
     source, target = pathlib.Path(source), pathlib.Path(target)
     target.mkdir(parents=True, exist_ok=True)
     ports = {}
-    with allocator() as take:
+    with allocator() as allocate:
 
-        def replace(match):
-            old = match.group(1)
-            if old not in ports:
-                ports[old] = take()
-            return f'127.0.0.1:{ports[old]}'
+        def replace_port(match):
+            port = match.group(1)
+            if port not in ports:
+                ports[port] = allocate()
+            return f'127.0.0.1:{ports[port]}'
 
         for path in sorted(source.iterdir()):
             if path.is_file():
                 text = path.read_text(encoding='utf-8')
-                (target / path.name).write_text(_ADDRESS.sub(replace, text),
+                (target / path.name).write_text(_LOOPBACK_ADDRESS.sub(
+                    replace_port, text),
                                                 encoding='utf-8')
         yield target
--- a/gorsefall/standins/service.py
+++ b/gorsefall/standins/service.py
@@ -1,4 +1,4 @@
-"""Plain service stand-in (booking, label); some calls are not repeatable."""
+"""Service stand-in (booking, label); some of its calls are not idempotent."""
 
 import collections
 import dataclasses
@@ -13,25 +13,27 @@
 NON_IDEMPOTENT_OPS = frozenset({'charge', 'issue_declaration'})
 
 
-class _Worked(core.Event):
-    """The work of one call is over."""
+class _CallDone(core.Event):
+    """Timer event: a call has finished."""
     name = 'call_worked'
 
 
 @dataclasses.dataclass
 class _Run:
+    """A call that waits or runs, and where to send its response."""
     order: messages.ServiceCall
-    later: replies.DeferredReply
+    deferred: replies.DeferredReply
     sock: object
 
 
 class Service(base.StandIn):
-    """Runs ``ServiceCall`` posts, ``slots`` at a time, and counts the runs.
+    """Runs up to ``slots`` calls at once and counts the runs of each.
 
     Attributes:
-        slots: Calls worked on at once; others wait their turn.
-        work_s: Work of one call, s.
-        runs: Runs per idempotency key (or request id), for the tests.
+        slots: Maximum number of running calls; further ones wait in order.
+        work_s: Duration of a call, s.
+        runs: Number of runs by idempotency key, or by request ID of calls
+            without a key.
     """
 
     def __init__(self, name='service', slots=6, work_ms=5.0):
@@ -45,15 +47,15 @@
         self._running = {}
 
     def call(self, *args, **kwargs):
-        """POST /call: runs one ``ServiceCall``; answers its result."""
-        if (reply := self._down()) is not None:
-            return reply
+        """POST /call: runs a ``ServiceCall`` and responds with its result."""
+        if (outage := self._outage_response()) is not None:
+            return outage
         order = replies.read_json(self.request, base.MAX_BODY_BYTES,
                                   messages.ServiceCall)
         key = order.key or order.id
         if order.op in NON_IDEMPOTENT_OPS and self.faults.check_fence:
-            # Fences are compared per key: claims of different keys may
-            # arrive in any order, and none is stale for it.
+            # Tokens are compared per key: claims of different keys may arrive
+            # in any order, which makes none of them stale.
             if order.fence < self._fences.get(key, 0):
                 return replies.json_body(
                     self.response, {
@@ -64,25 +66,25 @@
                         }
                     }, 409)
             self._fences[key] = order.fence
-        later = replies.DeferredReply(self, self.response)
-        self._waiting.append(_Run(order, later, self.request.sock))
-        self._start()
+        deferred = replies.DeferredReply(self, self.response)
+        self._waiting.append(_Run(order, deferred, self.request.sock))
+        self._start_calls()
         return True
 
-    def _start(self):
+    def _start_calls(self):
         while self._waiting and len(self._running) < self.slots:
             run = self._waiting.popleft()
             key = run.order.key or run.order.id
             self.runs[key] = self.runs.get(key, 0) + 1
             self._running[run.order.id] = run
-            slow = max(1, self.faults.slow)
-            core.Timer(self.work_s * slow, _Worked(run.order.id),
+            slow_factor = max(1, self.faults.slow)
+            core.Timer(self.work_s * slow_factor, _CallDone(run.order.id),
                        self.channel).register(self)
 
     @core.handler('call_worked')
-    def _on_worked(self, rid):
+    def _on_call_done(self, rid):
         run = self._running.pop(rid)
-        self._start()
+        self._start_calls()
         result = {
             'id': run.order.id,
             'op': run.order.op,
@@ -90,13 +92,14 @@
             'by': self.service_name,
             'args': run.order.args
         }
-        if not self._lose(run.sock) and not self._cut(run.sock, result):
-            run.later.json(result)
+        if not self._lose_response(run.sock) and not self._truncate_response(
+                run.sock, result):
+            run.deferred.json(result)
 
     def load(self):
-        """GET /load: a ``LoadReport``; priorities do not matter here."""
-        if (reply := self._down()) is not None:
-            return reply
+        """GET /load: a ``LoadReport`` that counts all calls as priority 1."""
+        if (outage := self._outage_response()) is not None:
+            return outage
         by_entry = {}
         for run in (*self._running.values(), *self._waiting):
             counts = by_entry.setdefault(run.order.entry, [0] * 5)
@@ -109,5 +112,5 @@
                                 by_entry=by_entry))
 
     def stats(self):
-        """GET /stats: runs per key."""
+        """GET /stats: number of runs by key."""
         return replies.json_body(self.response, {'runs': self.runs})
--- a/gorsefall/standins/waiting.py
+++ b/gorsefall/standins/waiting.py
@@ -1,30 +1,35 @@
-"""Waiting for processes and for what they come to believe."""
+"""Polls a condition until it holds, for tests of several processes."""
 
 import time
 
 TIMEOUT_S = 20.0
-"""Longest wait, s: a bound against hangs, over ten times what is usual."""
+"""Over ten times a usual wait: the bound only turns a hang into a failure."""
 
 POLL_INTERVAL_S = 0.02
-"""Pause between looks, s."""
 
 
 class WaitTimeoutError(AssertionError):
-    """What was waited for did not come."""
+    """The condition did not hold in time."""
 
 
 def until(check, what, timeout_s=TIMEOUT_S):
-    """Polls ``check`` until it returns a true value; returns that.
+    """Polls ``check`` until it returns a true value.
 
-    A bound, not a speed assert: it only turns a hang into a failure.
+    Args:
+        check: A function without arguments.
+        what: Description of the condition, for the error.
+        timeout_s: Maximum wait, s.
+
+    Returns:
+        The true value.
 
     Raises:
-        WaitTimeoutError: It did not within ``timeout_s``.
+        WaitTimeoutError: The wait exceeded ``timeout_s``.
     """
-    end = time.monotonic() + timeout_s
-    while time.monotonic() < end:
-        got = check()
-        if got:
-            return got
+    deadline = time.monotonic() + timeout_s
+    while time.monotonic() < deadline:
+        result = check()
+        if result:
+            return result
         time.sleep(POLL_INTERVAL_S)
     raise WaitTimeoutError(f'timed out waiting for {what}')
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -2,7 +2,7 @@
 # Runs all tests: the behave features, then pytest.
 # Tests listed in KNOWN-RED.txt (at most three) are printed and left out of the
 # run. A line names its test, a pytest ID or a feature file, before the first
-# semicolon. Other lines are only printed.
+# semicolon. An entry that begins otherwise is only printed.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 known=()
