--- a/bench/series.py
+++ b/bench/series.py
@@ -5,7 +5,7 @@
 For each site and policy it takes the newest journal entry whose reason starts
 with ``series: POLICY``. For each day it prints the score, the share of worth
 earned by each kind of request, the refused and failed shares, and the sum of
-the prices paid.
+the prices paid, which lower the score but not the shares.
 """
 
 import argparse
