--- a/gorsefall/emulator/engine.py
+++ b/gorsefall/emulator/engine.py
@@ -231,6 +231,6 @@
         gap_ms = now_ms - req.last_event_ms + RETRANSMIT_DELAY_MS * lost
         if gap_ms > req.kind.gap_ms:
             req.on_time = False
-        req.target.link.record_events(1, now_ms / 1000, held_up=lost)
+        req.target.link.record_events(1, now_ms / 1000, stalled=lost)
         req.target.pause.record(gap_ms)
         req.last_event_ms = req.last_contact_ms = now_ms
--- a/gorsefall/policy/costs.py
+++ b/gorsefall/policy/costs.py
@@ -15,20 +15,21 @@
 and not because of this cost."""
 
 MIN_FETCH_TOKENS = 1000
-"""Minimum number of cached tokens to fetch from another replica: prefilling
-them takes 20 ms, as long as the round trip of a fetch."""
+"""Minimum number of cached tokens to fetch from another replica: prefilling so
+many takes 20 ms, as long as the round trip of a fetch."""
 
 MAX_FETCH_TIME_RATIO = 0.5
-"""Maximum time to fetch a token in relation to the time to prefill it:
-transfers queue on the links and cost money."""
+"""Maximum time to fetch a token in relation to the time to prefill it: a
+transfer has to be much faster, since it delays others on the links and costs
+money."""
 
 FETCH_START_MS = 5.0
 """Time until the first token of a fetch, ms: 2.5 ms at the engines plus a round
 trip."""
 
 CROSS_ZONE_FETCH_FACTOR = 2
-"""How many times longer a transfer between availability zones takes, by the
-data of the engines' operators."""
+"""How many times longer a transfer between availability zones takes,
+according to the engines' operators."""
 
 FETCH_WEIGHT = 3.0
 """Weight of the time of a transfer in relation to a wait: it delays the
@@ -56,8 +57,8 @@
 
 REFUSAL_MS = 2000.0
 """Cost of a replica that would refuse the request, or where the request would
-make other responses late, ms. It exceeds all other costs, since other replicas
-may have slots available."""
+make other responses late, ms. It exceeds every other cost, since another
+replica may have slots available."""
 
 HARMLESS_GAP_SHARE = 0.4
 """Share of the accepted gap between events up to which prefill beside a stream
@@ -81,9 +82,9 @@
 accepted queue, so that streams prefer a busier replica to a lossy link."""
 
 
-def report_weight(target, now):
+def report_weight(view, now):
     """Returns the weight of the last report of others' work, 0.0 to 1.0."""
-    return freshness.weight(now - target.reported_at, REPORT_FADE_S)
+    return freshness.weight(now - view.reported_at, REPORT_FADE_S)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -91,7 +92,7 @@
     """The state of one replica, for one request.
 
     Attributes:
-        target: The replica's ``knowledge.ReplicaView``.
+        view: The replica's ``knowledge.ReplicaView``.
         slowness: How many times slower than usual it is.
         prefill_ms_per_token: Time to prefill a prompt token there, ms.
         busy: Requests there.
@@ -100,7 +101,7 @@
         queue_ms: Expected time that the request waits behind others, ms.
         cached_tokens: Tokens of its prompt that are cached there.
     """
-    target: knowledge.ReplicaView
+    view: knowledge.ReplicaView
     slowness: float
     prefill_ms_per_token: float
     busy: float
@@ -132,48 +133,48 @@
         self._usual_ms = pace.usual_pause_ms(candidates)
         self._source = self._best_source([*candidates, *sources])
         self._pool_ms = 0.0
-        self.candidates = [self._evaluate(t) for t in candidates]
+        self.candidates = [self._evaluate(v) for v in candidates]
 
     def set_pool(self, names):
-        """Sets the replicas of the request's own partition, by their names."""
+        """Sets the names of the replicas in the request's own partition."""
         self._pool_ms = statistics.fmean(
-            p.queue_ms for p in self.candidates if p.target.name in names)
+            c.queue_ms for c in self.candidates if c.view.name in names)
 
-    def _evaluate(self, target):
-        slowness = pace.slowness(target, self._usual_ms)
+    def _evaluate(self, view):
+        slowness = pace.slowness(view, self._usual_ms)
         prefill_ms = self._service.speed.prefill_ms_per_token * slowness
-        weight = report_weight(target, self._now)
-        ahead = target.prefill_tokens + weight * target.others_prefill_tokens
-        busy = target.outstanding + weight * target.others_requests
-        return Candidate(target=target,
-                         slowness=slowness,
-                         prefill_ms_per_token=prefill_ms,
-                         busy=busy,
-                         prefill_tokens_ahead=ahead,
-                         queue_ms=self._queue_ms(target, busy,
-                                                 ahead * prefill_ms),
-                         cached_tokens=target.prompt_cache.cached_tokens(
-                             self._profile.parts))
+        weight = report_weight(view, self._now)
+        ahead = view.prefill_tokens + weight * view.others_prefill_tokens
+        busy = view.outstanding + weight * view.others_requests
+        return Candidate(
+            view=view,
+            slowness=slowness,
+            prefill_ms_per_token=prefill_ms,
+            busy=busy,
+            prefill_tokens_ahead=ahead,
+            queue_ms=self._queue_ms(view, busy, ahead * prefill_ms),
+            cached_tokens=view.prompt_cache.cached_tokens(self._profile.parts))
 
     def add_request(self, candidate):
         """Returns the ``Candidate`` with one more decode-heavy request.
 
-        Its prompt is taken as prefilled, which is a hundredth of its run time.
+        Its prompt counts as prefilled already: the prefill takes only a
+        hundredth of the run.
         """
         busy = candidate.busy + 1
         queue_ms = self._queue_ms(
-            candidate.target, busy,
+            candidate.view, busy,
             candidate.prefill_tokens_ahead * candidate.prefill_ms_per_token)
         return dataclasses.replace(candidate, busy=busy, queue_ms=queue_ms)
 
-    def _queue_ms(self, target, busy, prefill_ms):
+    def _queue_ms(self, view, busy, prefill_ms):
         # Mean time until a slot becomes free while all of them are in use.
-        slot_ms = self._service.speed.residence.ms / max(1, target.slots)
-        if not target.engine:
+        slot_ms = self._service.speed.residence.ms / max(1, view.slots)
+        if not view.engine:
             return busy * slot_ms
         wait = prefill_ms + busy * RUNNING_REQUEST_MS
-        if busy >= target.slots:
-            wait += (busy - target.slots + 1) * slot_ms
+        if busy >= view.slots:
+            wait += (busy - view.slots + 1) * slot_ms
         return wait
 
     # -- fetching a cached prompt instead of prefilling it ---------------------
@@ -183,7 +184,7 @@
 
         None as well if fetching is not faster than prefilling it.
         """
-        healthy = [t for t in candidates if t.eject_until <= self._now]
+        healthy = [v for v in candidates if v.eject_until <= self._now]
         usual = self._service.speed.prefill_ms_per_token
         fast = 0 < self._service.fetch_ms < MAX_FETCH_TIME_RATIO * usual
         if (not healthy or not fast or
@@ -191,12 +192,12 @@
             return None
         return max(
             healthy,
-            key=lambda t: t.prompt_cache.cached_tokens(self._profile.parts))
+            key=lambda v: v.prompt_cache.cached_tokens(self._profile.parts))
 
     def plan_fetch(self, candidate):
         """Returns ``(source, tokens)`` to fetch there; None and 0 for none."""
         source = self._source
-        if source is None or source is candidate.target:
+        if source is None or source is candidate.view:
             return None, 0
         more = source.prompt_cache.cached_tokens(
             self._profile.parts) - candidate.cached_tokens
@@ -211,7 +212,7 @@
         source, tokens = self.plan_fetch(candidate)
         if source is None:
             return 0.0
-        factor = (1 if source.zone == candidate.target.zone else
+        factor = (1 if source.zone == candidate.view.zone else
                   CROSS_ZONE_FETCH_FACTOR)
         return FETCH_START_MS + tokens * self._service.fetch_ms * factor
 
@@ -226,14 +227,14 @@
                 part that no replica caches has to be prefilled once, and the
                 affinity replica is the best one for it.
         """
-        target = candidate.target
+        view = candidate.view
         cost = candidate.queue_ms
-        cost += 0.0 if target.zone == self._profile.zone else CROSS_ZONE_MS
+        cost += 0.0 if view.zone == self._profile.zone else CROSS_ZONE_MS
         cost += FAILING_REPLICA_MS * max(
-            0.0, target.error_share - TOLERATED_ERROR_SHARE)
-        if target.engine:
+            0.0, view.error_share - TOLERATED_ERROR_SHARE)
+        if view.engine:
             cost += self._prompt_ms(candidate,
-                                    at_affinity) + self._stall_ms(target)
+                                    at_affinity) + self._stall_ms(view)
         return cost
 
     def _prompt_ms(self, candidate, at_affinity):
@@ -258,16 +259,16 @@
 
         An idle replica never refuses a request.
         """
-        idle = (not candidate.target.outstanding and
-                not candidate.target.others_requests)
+        idle = (not candidate.view.outstanding and
+                not candidate.view.others_requests)
         return (not idle and
                 candidate.queue_ms + away_ms > self._profile.queue_limit_ms)
 
-    def _stall_ms(self, target):
+    def _stall_ms(self, view):
         if not self._profile.decode_heavy:
             return 0.0
         events = self._profile.tokens_out / self._service.event_tokens
-        probability = target.link.stall_probability(events, self._now)
+        probability = view.link.stall_probability(events, self._now)
         return STALL_MS * max(0.0, probability - TOLERATED_STALL_PROBABILITY)
 
     def misplacement_ms(self, candidate):
--- a/gorsefall/policy/health.py
+++ b/gorsefall/policy/health.py
@@ -8,20 +8,20 @@
 """Maximum ejection time, s: a recovered replica is used again within it."""
 
 
-def select_healthy(targets, now):
-    """Returns those of ``targets`` that get requests.
+def select_healthy(replicas, now):
+    """Returns those of ``replicas`` that get requests.
 
-    While all are ejected, it is the one whose ejection ends first: it may work,
-    which is better than refusing all requests.
+    If all are ejected, the result is the one whose ejection ends first: it may
+    work, which is better than refusing all requests.
 
     Args:
-        targets: List of ``Health`` objects.
+        replicas: List of ``Health`` objects.
         now: Time, s (monotonic).
     """
-    healthy = [t for t in targets if t.eject_until <= now]
-    if healthy or not targets:
+    healthy = [r for r in replicas if r.eject_until <= now]
+    if healthy or not replicas:
         return healthy
-    return [min(targets, key=lambda t: t.eject_until)]
+    return [min(replicas, key=lambda r: r.eject_until)]
 
 
 class Health:
@@ -30,7 +30,7 @@
     Attributes:
         failures: Consecutive failed calls.
         eject_until: No new requests before this time, s (monotonic).
-        missed_report_only: Whether a missed load report is the only reason of
+        missed_report_only: Whether a missed load report is the only reason for
             the ejection.
     """
     failures = 0
--- a/gorsefall/policy/knowledge.py
+++ b/gorsefall/policy/knowledge.py
@@ -1,4 +1,4 @@
-"""What placement knows of a replica and of the request to be placed."""
+"""The data on replicas and requests that placement decides by."""
 
 import dataclasses
 import math
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass
 class ReplicaView(health.Health):
-    """What an entry knows of one replica that may take requests.
+    """What an entry has observed of one replica that may take requests.
 
     Attributes:
         name: Replica id.
--- a/gorsefall/policy/overload.py
+++ b/gorsefall/policy/overload.py
@@ -81,7 +81,7 @@
 
 
 def retry_after_s(choice, limit_ms, rng=random):
-    """Returns the retry-after time of a request to be refused, s, or None.
+    """Returns the retry-after time of a request, s; None if it is not refused.
 
     Args:
         choice: The ``placement.Choice`` of the best replica for it.
--- a/gorsefall/policy/pace.py
+++ b/gorsefall/policy/pace.py
@@ -1,8 +1,8 @@
 """Estimates the speed of replicas from their responses.
 
-Speeds differ between sites, and a replica may become slow. Estimated are the
-time to prefill a prompt token, the time that a request stays at a replica, and
-which replicas are slower than the others of their service.
+Speeds differ between sites, and a replica may become slow. The estimates are
+the time to prefill a prompt token, the time that a request stays at a replica,
+and how much slower a replica is than the others of its service.
 """
 
 import math
@@ -22,8 +22,8 @@
 
 PREFILL_QUANTILE = 0.3
 """Quantile of the prefill times that is taken as the speed of the replica
-itself; longer times include waiting behind work that this entry did not know
-of."""
+itself; longer times include waiting behind work that this entry has not
+observed."""
 
 INITIAL_PAUSE_MS = 20.0
 """Initial estimate of the pause between two events, ms; engines have 17 to
@@ -128,23 +128,23 @@
     return Quantile(PAUSE_QUANTILE, INITIAL_PAUSE_MS, MIN_PAUSE_STEP)
 
 
-def usual_pause_ms(targets):
-    """Returns the usual pause between events at ``targets``, ms.
+def usual_pause_ms(views):
+    """Returns the usual pause between events at the replicas, ms.
 
-    None if fewer than two of them have enough samples.
+    The result is None if fewer than two replicas have enough samples.
 
     Args:
-        targets: Objects with ``pause``, a ``Quantile`` of pauses, ms.
+        views: Objects with ``pause``, a ``Quantile`` of pauses, ms.
     """
     known = [
-        t.pause.value for t in targets if t.pause.samples >= MIN_PAUSE_SAMPLES
+        v.pause.value for v in views if v.pause.samples >= MIN_PAUSE_SAMPLES
     ]
     return statistics.median_low(known) if len(known) > 1 else None
 
 
-def slowness(target, usual_ms):
+def slowness(view, usual_ms):
     """Returns how many times slower a replica is than usual, 1.0 at least."""
-    if usual_ms is None or target.pause.samples < MIN_PAUSE_SAMPLES:
+    if usual_ms is None or view.pause.samples < MIN_PAUSE_SAMPLES:
         return 1.0
-    ratio = target.pause.value / usual_ms
+    ratio = view.pause.value / usual_ms
     return min(MAX_SLOWNESS, ratio) if ratio >= MIN_SLOWNESS else 1.0
--- a/gorsefall/policy/partition.py
+++ b/gorsefall/policy/partition.py
@@ -10,8 +10,8 @@
 from gorsefall.policy import rendezvous
 
 PEAK_DEVIATIONS = 1.0
-"""Standard deviations by which the decode-heavy requests may exceed their
-current number while the partition still has slots for them."""
+"""Standard deviations by which the number of decode-heavy requests may rise
+while the partition still has slots for all of them."""
 
 SHRINK_DELAY_S = 20.0
 """Time for which fewer engines must be sufficient before the partition shrinks
@@ -27,20 +27,20 @@
         self._shrink_at = None
 
     def decode_engines(self, engines, requests, now, unreported=0.0):
-        """Returns the names of the engines in it, at most half of all.
+        """Returns the names of its engines, at most half of all engines.
 
         Args:
             engines: The ``knowledge.ReplicaView`` of each engine of the
                 service.
             requests: Decode-heavy requests at all of them.
             now: Time, s (monotonic).
-            unreported: Those that other entries may have sent since their last
-                reports.
+            unreported: Decode-heavy requests that other entries may have sent
+                since their last reports.
         """
         limit = len(engines) // 2
         if not limit:
             return set()
-        slots = statistics.fmean(t.slots for t in engines)
+        slots = statistics.fmean(v.slots for v in engines)
         peak = requests + PEAK_DEVIATIONS * math.sqrt(requests) + unreported
         needed = min(limit, max(1, math.ceil(peak / slots)))
         self._adapt(needed, now)
@@ -59,5 +59,5 @@
 
 def select_engines(engines, count):
     """Returns the names of ``count`` engines, the same ones at every entry."""
-    ordered = sorted(engines, key=lambda t: rendezvous.rank('quiet', t))
-    return {t.name for t in ordered[:count]}
+    ordered = sorted(engines, key=lambda v: rendezvous.rank('quiet', v))
+    return {v.name for v in ordered[:count]}
--- a/gorsefall/policy/peerview.py
+++ b/gorsefall/policy/peerview.py
@@ -1,4 +1,4 @@
-"""The reported work of other entries, and the status that reports the own."""
+"""The work that other entries report, and this entry's own status report."""
 
 import collections
 
@@ -16,10 +16,11 @@
 REPORTED_ERROR_SHARE = 0.02
 """Share of failed responses of a replica from which on its successes are
 reported as well, so that other entries see it recover. Below it only failures
-are."""
+are reported."""
 
 MAX_RESPONSES = 64
-"""Maximum number of responses in a message, the last ones."""
+"""Maximum number of responses in a message, the last ones; see
+``MAX_PROMPT_USES``."""
 
 MAX_PROMPT_USES = 64
 """Maximum number of prompt uses in a message, the last ones. An entry has 16
@@ -47,25 +48,25 @@
         self._response_count = 0
         self.members = membership.Members(name)
 
-    def record_prompt(self, target, parts, now):
+    def record_prompt(self, view, parts, now):
         """Records the shared prompt parts of an own request at a replica."""
-        target.prompt_cache.record_use(parts)
+        view.prompt_cache.record_use(parts)
         tracked = tuple(p for p in parts if p.tokens >= prompts.MIN_PART_TOKENS)
         if tracked:
-            self._uses.append((now, prompts.Use(target.name, tracked)))
+            self._uses.append((now, prompts.Use(view.name, tracked)))
 
-    def record_response(self, target, ok, now):
+    def record_response(self, view, ok, now):
         """Records whether a response served the caller's request.
 
         The response is reported to other entries: with many entries each has
         few calls, and would lose several of them if it had to detect a failing
         replica alone.
         """
-        target.record_response(ok)
-        if ok and target.error_share < REPORTED_ERROR_SHARE:
+        view.record_response(ok)
+        if ok and view.error_share < REPORTED_ERROR_SHARE:
             return
         self._response_count += 1
-        self._responses.append((now, membership.Response(target.name, ok)))
+        self._responses.append((now, membership.Response(view.name, ok)))
 
     def record_status(self, host, status, now):
         """Records the status of another entry; returns False if it is stale."""
@@ -73,26 +74,26 @@
         if not self.members.record_status(host, status, now):
             return False
         for response in status.responses_after(last):
-            target = self._find(response.replica)
-            if target is not None:
-                target.record_response(response.ok)
+            view = self._find(response.replica)
+            if view is not None:
+                view.record_response(response.ok)
         for use in status.prompt_uses:
-            target = self._find(use.replica)
-            if target is not None:
-                target.prompt_cache.record_use(use.parts)
+            view = self._find(use.replica)
+            if view is not None:
+                view.prompt_cache.record_use(use.parts)
         return True
 
-    def update_views(self, targets, now):
-        """Updates ``targets`` with others' work, if any other entry is live."""
+    def update_views(self, views, now):
+        """Updates ``views`` with others' work, if any other entry is live."""
         if self.members.alone:
             return
-        for target in targets:
-            target.record_others(self.members.in_flight(target.name), now)
+        for view in views:
+            view.record_others(self.members.in_flight(view.name), now)
 
     def build_status(self,
                      started_at_ms,
                      seq,
-                     targets,
+                     views,
                      now,
                      *,
                      first_attempts=None,
@@ -108,7 +109,7 @@
         Args:
             started_at_ms: When this process started, ms since 1970.
             seq: Number of the message.
-            targets: All ``knowledge.ReplicaView`` objects.
+            views: All ``knowledge.ReplicaView`` objects.
             now: Time, s (monotonic).
             first_attempts: ``service -> requests`` in the retry window.
             known_hosts: Hosts of some live entries.
@@ -129,7 +130,7 @@
             started_at_ms=started_at_ms,
             seq=seq,
             first_attempts=first_attempts or {},
-            in_flight={t.name: t.in_flight() for t in targets if t.outstanding},
+            in_flight={v.name: v.in_flight() for v in views if v.outstanding},
             prompt_uses=tuple(use for _, use in self._uses),
             known_hosts=tuple(known_hosts),
             responses_before=self._response_count - len(self._responses),
--- a/gorsefall/policy/placement.py
+++ b/gorsefall/policy/placement.py
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass
 class ServiceState:
-    """What placement knows of a service beside its replicas.
+    """What placement knows about a service, apart from its replicas.
 
     Attributes:
         speed: The ``pace.ServiceSpeed`` of its replicas.
@@ -70,11 +70,10 @@
     return rendezvous.best(session, candidates)
 
 
-def with_fewest_requests(targets):
-    """Returns those of ``targets`` with the fewest requests there."""
-    fewest = min((t.outstanding + t.others_requests for t in targets),
-                 default=0)
-    return [t for t in targets if t.outstanding + t.others_requests == fewest]
+def with_fewest_requests(views):
+    """Returns those of ``views`` with the fewest requests there."""
+    fewest = min((v.outstanding + v.others_requests for v in views), default=0)
+    return [v for v in views if v.outstanding + v.others_requests == fewest]
 
 
 def choose(candidates, profile, service, now, rng=random, *, sources=()):
@@ -95,14 +94,15 @@
         return None
     service.unreported.record_request(profile.decode_heavy)
     if healthy[0].eject_until > now:
-        # All replicas are ejected: the last resort is used whatever its queue.
+        # All replicas are ejected: the request goes to the one whose ejection
+        # ends first, however long its queue is.
         return Choice(healthy[0], profile.tokens)
     decode_names = _decode_engines(candidates, profile, service, now)
-    # The affinity replica is chosen among all, so that a session returns to it
-    # as soon as it is healthy again.
+    # The affinity replica is chosen among ejected replicas as well, so that a
+    # session returns to its replica as soon as that is healthy again.
     pool = ([
-        t for t in candidates
-        if (t.name in decode_names) == profile.decode_heavy
+        v for v in candidates
+        if (v.name in decode_names) == profile.decode_heavy
     ] or candidates)
     affinity = affinity_replica(pool,
                                 profile.session) if profile.session else None
@@ -111,22 +111,22 @@
                                 candidates,
                                 now,
                                 sources=sources)
-    cost.set_pool({t.name for t in pool})
+    cost.set_pool({v.name for v in pool})
 
     def rank(candidate):
         total_ms = cost.total_ms(candidate,
-                                 at_affinity=candidate.target is affinity)
-        if decode_names and (candidate.target.name
+                                 at_affinity=candidate.view is affinity)
+        if decode_names and (candidate.view.name
                              in decode_names) != profile.decode_heavy:
             total_ms += cost.misplacement_ms(candidate)
         return total_ms, rng.random()
 
-    names = {t.name for t in healthy}
-    options = [p for p in cost.candidates if p.target.name in names]
+    names = {v.name for v in healthy}
+    options = [c for c in cost.candidates if c.view.name in names]
     if not profile.decode_heavy:
         return _to_choice(cost, min(options, key=rank))
-    # The number of requests that other entries sent since their last reports is
-    # not known: every number up to the expected one is equally likely.
+    # How many of the unreported requests were sent before this one is not
+    # known: every number up to the expected total is equally likely.
     limit = int(
         min(service.unreported.decode_heavy(),
             unreported_requests.MAX_SIMULATED))
@@ -149,7 +149,7 @@
 
 def _to_choice(cost, candidate):
     source, _ = cost.plan_fetch(candidate)
-    return Choice(candidate.target, cost.prefill_tokens(candidate),
+    return Choice(candidate.view, cost.prefill_tokens(candidate),
                   candidate.queue_ms, candidate.prefill_tokens_ahead,
                   candidate.slowness, source)
 
@@ -160,10 +160,10 @@
         return set()
     if profile.decode_heavy and profile.gap_ms:
         service.gap_ms = profile.gap_ms
-    engines = [t for t in candidates if t.engine]
-    requests = sum(t.decode_heavy +
-                   costs.report_weight(t, now) * t.others_decode_heavy
-                   for t in engines)
+    engines = [v for v in candidates if v.engine]
+    requests = sum(v.decode_heavy +
+                   costs.report_weight(v, now) * v.others_decode_heavy
+                   for v in engines)
     return service.partition.decode_engines(engines, requests, now,
                                             service.unreported.decode_heavy())
 
@@ -180,5 +180,5 @@
         request: The request's id.
         now: Time, s (monotonic).
     """
-    healthy = [t for t in candidates if t.eject_until <= now]
+    healthy = [v for v in candidates if v.eject_until <= now]
     return rendezvous.best(request, healthy)
--- a/gorsefall/policy/rendezvous.py
+++ b/gorsefall/policy/rendezvous.py
@@ -7,11 +7,11 @@
 import xxhash
 
 
-def rank(key, target):
-    """Returns the rank of ``target``, which has a ``name``, for ``key``."""
-    return xxhash.xxh64_intdigest((key + target.name).encode())
+def rank(key, candidate):
+    """Returns the rank of ``candidate``, which has a ``name``, for ``key``."""
+    return xxhash.xxh64_intdigest((key + candidate.name).encode())
 
 
-def best(key, targets):
-    """Returns the target with the highest rank for ``key``, or None."""
-    return max(targets, key=lambda t: rank(key, t), default=None)
+def best(key, candidates):
+    """Returns the candidate with the highest rank for ``key``, or None."""
+    return max(candidates, key=lambda c: rank(key, c), default=None)
--- a/gorsefall/policy/stalls.py
+++ b/gorsefall/policy/stalls.py
@@ -37,17 +37,17 @@
     def _decay(self, now):
         return math.exp((self._at - now) / DECAY_S)
 
-    def record_events(self, events, now, *, held_up=False):
+    def record_events(self, events, now, *, stalled=False):
         """Records events of a stream.
 
         Args:
             events: Number of events that arrived together.
             now: Time, s (monotonic).
-            held_up: Whether a packet loss stalled them.
+            stalled: Whether a packet loss stalled them.
         """
         decay = self._decay(now)
         self._events = self._events * decay + events
-        self._stalled = self._stalled * decay + held_up
+        self._stalled = self._stalled * decay + stalled
         self._at = now
 
     def stall_probability(self, events, now):
@@ -64,10 +64,10 @@
         longest_pause_s: Longest pause between its events, s.
     """
 
-    def __init__(self, target):
+    def __init__(self, view):
         self.longest_pause_s = 0.0
-        self._link = target.link
-        self._pause = target.pause
+        self._link = view.link
+        self._pause = view.pause
         self._last = None
         self._after_silence = False
 
@@ -82,12 +82,12 @@
         silent = gap > MIN_LOSS_SILENCE_S
         together = events > 1 if silent else (self._after_silence and
                                               gap < MAX_BURST_GAP_S)
-        self._link.record_events(events, now, held_up=together)
+        self._link.record_events(events, now, stalled=together)
         self._pause.record(gap * 1000 / events)
         self._after_silence = silent and not together
         self._last = now
 
     def record_pause(self):
-        """Records a pause in reading: the caller causes the next silence."""
+        """Records that reading is paused; the next silence is not measured."""
         self._last = None
         self._after_silence = False
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -158,7 +158,7 @@
     profile = knowledge.RequestProfile(zone='z', tokens=9000, tokens_out=60)
     lossy, good = _named(['e0', 'e1'])
     for _ in range(20):
-        lossy.link.record_events(5, 5.0, held_up=True)
+        lossy.link.record_events(5, 5.0, stalled=True)
     cost = costs.PlacementCosts(profile, placement.ServiceState(),
                                 [lossy, good], 5.0)
     at_lossy, at_good = (
@@ -176,7 +176,7 @@
         lossy, = _named(['e0'])
         for _ in range(100):
             lossy.link.record_events(1, 5.0)
-        lossy.link.record_events(1, 5.0, held_up=True)
+        lossy.link.record_events(1, 5.0, stalled=True)
         service = placement.ServiceState(event_tokens=event_tokens)
         cost = costs.PlacementCosts(profile, service, [lossy], 5.0)
         weights.append(cost.total_ms(cost.candidates[0]))
