--- a/gorsefall/policy/admission.py
+++ b/gorsefall/policy/admission.py
@@ -22,7 +22,7 @@
 
 WAIT_SHARE = 0.4
 """Maximum expected wait of a request as a share of its latency target; the rest
-is for the prefill and the error of the estimate."""
+covers the prefill and the error of the estimate."""
 
 TOP_PRIORITY = 1
 TIERS = range(1, 6)
@@ -122,7 +122,7 @@
         self.running = {}
         self.served_time_s = 0.05
         self._waiting = {}
-        self._running_of = collections.Counter()
+        self._running_by_group = collections.Counter()
 
     def arrive(self, ticket, now):
         """Admits, queues or refuses ``ticket``.
@@ -143,7 +143,7 @@
         """Removes a finished or withdrawn request; returns tickets to start."""
         ticket = self.running.pop(rid, None)
         if ticket is not None:
-            self._running_of[ticket.group] -= 1
+            self._running_by_group[ticket.group] -= 1
         else:
             ticket = self._waiting.pop(rid, None)
         if ticket is None:
@@ -185,7 +185,7 @@
 
     def _run(self, ticket):
         self.running[ticket.rid] = ticket
-        self._running_of[ticket.group] += 1
+        self._running_by_group[ticket.group] += 1
 
     def fair_share(self):
         """Returns this entry's share of the pool's slots, at least 1."""
@@ -210,12 +210,12 @@
         """See ``Admission.arrive``."""
         self.limiter.admit(ticket.scopes, now, self.served_time_s)
         try:
-            return self._place(ticket, now)
+            return self._run_or_queue(ticket, now)
         except errors.ShedError:
             self.limiter.release(ticket.scopes)
             raise
 
-    def _place(self, ticket, now):
+    def _run_or_queue(self, ticket, now):
         outranked = any(
             t.priority <= ticket.tier for t in self._waiting.values())
         if not outranked and self._has_slot(ticket.tier):
@@ -223,8 +223,9 @@
             return Verdict.RUN, []
         wait = self.expected_wait_s(ticket.tier, now)
         if wait > ticket.target_s * WAIT_SHARE or now + wait > ticket.deadline:
-            # It would be late and delay every request behind it (symptom: a
-            # burst in which all requests of a class are served, none in time).
+            # The request would be late and delay every request behind it
+            # (symptom: a burst in which all requests of a class are served, but
+            # none in time).
             raise errors.ShedError('cannot start in time',
                                    retry_after=retry_delay.after_queue_s(wait))
         shed = []
@@ -263,7 +264,8 @@
         # Within a tier, the class with the fewest running requests is first:
         # otherwise a burst of one class, within its limits, would fill the
         # queue ahead of the other classes.
-        return (ticket.tier, self._running_of[ticket.group], ticket.arrived)
+        return (ticket.tier, self._running_by_group[ticket.group],
+                ticket.arrived)
 
     def _record_start(self, ticket, now):
         top = min((t.tier for t in self._waiting.values()), default=None)
--- a/gorsefall/policy/announced_limits.py
+++ b/gorsefall/policy/announced_limits.py
@@ -10,23 +10,25 @@
 from gorsefall.policy import rendezvous
 
 USED_SHARE = 0.8
-"""Used share of a limit: entries that do not receive each other's status for a
-while compute too many or too few senders."""
+"""Used share of a limit. The rest is a margin: entries that do not receive each
+other's status for a while compute different senders, and together they may
+exceed the limit."""
 
 MAX_BURST_REQUESTS = 2.0
 """Maximum burst of an entry after a pause, requests. ``MAX_BURST_S`` may allow
 more."""
 
 URGENT_RESERVE = 0.5
-"""Part of a request that is reserved for the most urgent requests, so that the
-next of them has to wait for half the usual time only."""
+"""Part of a request that less urgent requests leave in the token bucket, so
+that the next request of the most urgent rank waits only half as long."""
 
 MAX_BURST_S = 0.5
 """Maximum burst of an entry as a time at its rate, s."""
 
 MIN_PER_S = 0.05
-"""Minimum rate at which requests are sent to a replica, per second: only its
-responses show that the limit has been lifted."""
+"""Minimum rate at which requests are sent to a replica, per second. With an
+announced limit of 0 it would get none, and only its responses show that the
+limit has been lifted."""
 
 PER_SENDER_PER_S = 1.0
 """Part of a limit for which there is one sender, requests per second."""
--- a/gorsefall/policy/attempt_timeouts.py
+++ b/gorsefall/policy/attempt_timeouts.py
@@ -15,11 +15,12 @@
 its response before another replica is tried."""
 
 MIN_ATTEMPT_S = 0.15
-"""Minimum of this timeout, s: over three times the slowest usual call. The
-longest call of any service takes 110 ms, five times the usual 22 ms."""
+"""Minimum timeout of an attempt, s: over three times the slowest usual call.
+The longest call of any service takes 110 ms, five times the usual 22 ms."""
 
 MIN_STREAM_ATTEMPT_S = 1.2
-"""The same for streams, whose first event follows the prefill of the prompt."""
+"""Minimum timeout of an attempt at a stream, s; its first event follows the
+prefill of the prompt."""
 
 STREAM_GAP_S = 1.0
 """Silence within a resumable stream after which another replica is tried, s:
@@ -60,13 +61,13 @@
         return max(floor_s, self._mean_s + DEVIATIONS * self._deviation_s)
 
 
-def attempt_s(usual, left_s, *, streams):
+def attempt_s(latency, left_s, *, streams):
     """Returns the time within which the response to an attempt must start, s.
 
     Args:
-        usual: The ``StartLatency`` of its service and kind.
+        latency: The ``StartLatency`` of its service and kind.
         left_s: Remaining time of the request, s.
         streams: Whether the response is a stream.
     """
     floor_s = MIN_STREAM_ATTEMPT_S if streams else MIN_ATTEMPT_S
-    return max(ATTEMPT_SHARE * left_s, usual.timeout_s(floor_s))
+    return max(ATTEMPT_SHARE * left_s, latency.timeout_s(floor_s))
--- a/gorsefall/policy/attempts.py
+++ b/gorsefall/policy/attempts.py
@@ -70,11 +70,11 @@
         return len(self.replicas) - uncounted < terms.max_attempts
 
     def may_run_concurrently(self, terms):
-        """Returns whether it may be sent during another run."""
+        """Returns whether the request may be sent during another run of it."""
         return terms.repeatable and self.has_attempts_left(terms)
 
     def may_retry(self, terms):
-        """Returns whether it may be sent again after its last run has ended."""
+        """Returns whether the request may be sent again after its last run."""
         return self.has_attempts_left(terms) and not self.forbids_rerun(terms)
 
     def forbids_rerun(self, terms):
--- a/gorsefall/policy/budget.py
+++ b/gorsefall/policy/budget.py
@@ -11,16 +11,18 @@
 import msgspec
 
 USED_RATIO_SHARE = 0.7
-"""Used share of the allowed ratio. Requests are counted when they arrive; their
-retries come later, possibly in a window with fewer requests."""
+"""Used share of the allowed ratio and of the fixed number. Requests are counted
+when they arrive; their retries come later, possibly in a window with fewer
+requests."""
 
 MIN_FIXED_RETRIES = 1.0
-"""Minimum of the fixed number for each entry: the fixed number is for services
-with little traffic, where an entry cannot estimate its share."""
+"""Retries of the fixed number that each entry may send in any case: the fixed
+number is for services with little traffic, where an entry cannot estimate its
+share."""
 
 MAX_FIXED_SHARE_ALONE = 1 / 12
 """Maximum share of the fixed number for an entry that receives no status of
-others: half of its share of the traffic with 6 or 7 entries, because restarted
+others: half of what an entry carries with 6 or 7 entries, because restarted
 entries start with an empty window. With 80 such entries the sum would be seven
 times the fixed number."""
 
--- a/gorsefall/policy/limits.py
+++ b/gorsefall/policy/limits.py
@@ -126,38 +126,38 @@
         self.shares = shares or Shares()
         self.peer_usage = {}
         self.silent_peers = None
-        self._uses = {}
+        self._usages = {}
 
-    def admit(self, scopes, now, hint_s):
+    def admit(self, scopes, now, retry_after_s):
         """Admits one request under every scope, or under none.
 
         Args:
             scopes: List of ``(key, rate_per_s, concurrency)``.
             now: Time, s (monotonic).
-            hint_s: Retry-after time of a refusal by concurrency, s.
+            retry_after_s: Retry-after time of a refusal by concurrency, s.
 
         Raises:
             errors.RateLimitedError: Some scope is at its limit.
         """
-        uses = []
+        usages = []
         for key, rate, conc in scopes:
-            use = self._uses.get(key)
-            if use is None:
-                use = _OwnUsage(self.shares.rate(rate), now)
-                self._uses[key] = use
-            use.decay(now)
-            use.bucket.refill(now, self._rate(key, use, rate))
-            limit = self._concurrency(key, use, conc)
-            if use.inflight >= limit:
+            usage = self._usages.get(key)
+            if usage is None:
+                usage = _OwnUsage(self.shares.rate(rate), now)
+                self._usages[key] = usage
+            usage.decay(now)
+            usage.bucket.refill(now, self._rate(key, usage, rate))
+            limit = self._concurrency(key, usage, conc)
+            if usage.inflight >= limit:
                 raise errors.RateLimitedError(f'{key}: {limit} in flight here',
-                                              retry_after=hint_s)
-            if use.bucket.level < 1.0:
+                                              retry_after=retry_after_s)
+            if usage.bucket.level < 1.0:
                 raise errors.RateLimitedError(
-                    f'{key}: over {use.bucket.rate:.2f}/s here',
-                    retry_after=use.bucket.wait_s())
-            uses.append(use)
-        for use in uses:
-            use.acquire()
+                    f'{key}: over {usage.bucket.rate:.2f}/s here',
+                    retry_after=usage.bucket.wait_s())
+            usages.append(usage)
+        for usage in usages:
+            usage.acquire()
 
     def _silent_count(self):
         peers = self.shares.entries - 1
@@ -169,41 +169,41 @@
     # peers admitted after their last report can exceed it, and the borrower
     # yields as soon as it receives the next report.
 
-    def _concurrency(self, key, use, limit):
+    def _concurrency(self, key, usage, limit):
         share = self.shares.concurrency(key, limit)
         others = (self.peer_usage.get(key, Usage()).inflight +
                   self._silent_count() * share)
-        spare = max(0, limit - use.inflight - others)
-        return max(share, use.inflight + spare // self.shares.entries)
+        spare = max(0, limit - usage.inflight - others)
+        return max(share, usage.inflight + spare // self.shares.entries)
 
-    def _rate(self, key, use, limit):
+    def _rate(self, key, usage, limit):
         share = self.shares.rate(limit)
         others = (self.peer_usage.get(key, Usage()).rate +
                   self._silent_count() * share)
-        spare = max(0.0, limit - use.rate - others)
-        return max(share, use.rate + spare / self.shares.entries)
+        spare = max(0.0, limit - usage.rate - others)
+        return max(share, usage.rate + spare / self.shares.entries)
 
     def release(self, scopes):
         """Releases the concurrency that ``admit`` acquired."""
         for key, _, _ in scopes:
-            self._uses[key].inflight -= 1
+            self._usages[key].inflight -= 1
 
     def forget(self, live_keys):
         """Drops idle counts of keys that the catalogue no longer contains."""
-        for key in [k for k in self._uses if k not in live_keys]:
-            if self._uses[key].inflight == 0:
-                del self._uses[key]
+        for key in [k for k in self._usages if k not in live_keys]:
+            if self._usages[key].inflight == 0:
+                del self._usages[key]
 
     def inflight(self, key):
         """Returns the requests of ``key`` in flight at this entry."""
-        use = self._uses.get(key)
-        return use.inflight if use else 0
+        usage = self._usages.get(key)
+        return usage.inflight if usage else 0
 
     def report(self, now):
         """Returns ``[[key, inflight, rate]]`` of the used limits, for peers."""
         out = []
-        for key, use in self._uses.items():
-            use.decay(now)
-            if use.inflight or use.rate > 0.05:
-                out.append([list(key), use.inflight, round(use.rate, 2)])
+        for key, usage in self._usages.items():
+            usage.decay(now)
+            if usage.inflight or usage.rate > 0.05:
+                out.append([list(key), usage.inflight, round(usage.rate, 2)])
         return out
--- a/gorsefall/policy/routing.py
+++ b/gorsefall/policy/routing.py
@@ -15,7 +15,8 @@
 
 AFFINITY_SLACK = 2.0
 """Maximum load above that of the least busy replica, requests, at which a
-replica may still be chosen for a prefix-cache hit."""
+replica may still be chosen for a prefix-cache hit. Above it, load takes
+precedence over the cache."""
 
 GAP_SMOOTHING = 0.1
 SLOW_RATIO = 3.0
@@ -162,7 +163,7 @@
         return rendezvous.best(profile.prompt[:PREFIX_CHARS], nearby)
 
     def score(self, rep, profile, wall, median_gap_s):
-        """Returns ``(Place, load)`` of ``rep``; lower is better.
+        """Returns ``(StartMode, load)`` of ``rep``; lower is better.
 
         The entry's own in-flight count is exact; the requests of other entries
         come from the delayed report and lose weight with its age. The load of a
