--- a/gorsefall/policy/membership.py
+++ b/gorsefall/policy/membership.py
@@ -28,8 +28,8 @@
 the seeds."""
 
 UNCONFIRMED_ADDRESS_TTL_S = 5.0
-"""The same for an address that another entry named and that has not sent a
-status itself, s."""
+"""Time after which an address is dropped that another entry reported and that
+has not sent a status itself, s."""
 
 NEW_ADDRESS_S = 6.0
 """Time for which an address counts as new, s. Others receive it at least twice
--- a/gorsefall/policy/readers.py
+++ b/gorsefall/policy/readers.py
@@ -23,8 +23,8 @@
 """Number of readers to query before an entry reads the store itself."""
 
 UNRESPONSIVE_AVOID_S = 5.0
-"""Time for which an entry that did not respond is queried last, s. After it the
-entry is either left out as silent, or just one datagram was lost."""
+"""Time for which an entry that did not respond is queried last, s. After that
+time the entry is left out as silent, unless just one datagram was lost."""
 
 
 class Candidate(typing.NamedTuple):
@@ -89,7 +89,7 @@
         return self._own in select_readers([self._own, *others])
 
     def has_dependents(self, others):
-        """Returns whether any entry is no reader and depends on the readers."""
+        """Returns whether any entry is not a reader and depends on readers."""
         everyone = [self._own, *others]
         return len(select_readers(everyone)) < len(everyone)
 
--- a/gorsefall/policy/shutdown.py
+++ b/gorsefall/policy/shutdown.py
@@ -2,8 +2,9 @@
 
 First the process reports that it is not ready, so that the load balancer stops
 sending requests. Until the balancer has noticed, new requests are still served:
-refusing them at once would fail callers that could not know. Then no new ones
-are accepted, and the process exits after its last response or at a time limit.
+refusing them at once would fail callers that are still sent here. Then no new
+ones are accepted, and the process exits after its last response or at a time
+limit.
 """
 
 import math
--- a/gorsefall/policy/suspects.py
+++ b/gorsefall/policy/suspects.py
@@ -49,11 +49,12 @@
 """Block times after the last report until a request is forgotten."""
 
 MAX_SUSPECTS = 1024
-"""Maximum number of requests kept, 0.6 MB: twice the requests in progress at a
-quarter of 50 engines."""
+"""Maximum number of requests kept; they take 0.6 MB. It is twice the number of
+requests in progress at a quarter of 50 engines."""
 
 MAX_REPLICA_EXITS = 256
-"""Maximum number of replica exits kept."""
+"""Maximum number of replica exits kept to detect common causes; the oldest are
+dropped first."""
 
 MAX_CRASHES_PER_REQUEST = 12
 """Maximum number of crashes kept for a request; it is a poison request by
@@ -65,7 +66,10 @@
 
 
 class CrashWeight(enum.IntEnum):
-    """How strongly a crash incriminates a request that ran at the replica."""
+    """How strongly a crash counts against a request that ran at the replica.
+
+    Young runs count more: see ``YOUNG_RUN_S``.
+    """
     OLD = 1
     YOUNG = 2
 
--- a/gorsefall/policy/traffic_share.py
+++ b/gorsefall/policy/traffic_share.py
@@ -29,22 +29,23 @@
         """The share, 0.0 to 1.0."""
         return min(1.0, self._own / (self._all + PRIOR_REQUESTS))
 
-    def record_sample(self, own, there, replicas):
+    def record_sample(self, own, at_replica, replicas):
         """Records the requests in flight at a service when a replica responds.
 
-        The answered request does not count, since it is there in any case: with
-        idle replicas an entry would estimate a share of 1. The own requests at
-        this replica alone are no measure either: entries prefer replicas of
-        their zone, and with three zones the share would be three times too
-        large. The replica represents all others, as all have a similar load.
+        The request of this response does not count, since it is there in any
+        case: with idle replicas an entry would estimate a share of 1. Nor does
+        the entry count only its own requests at this replica: entries prefer
+        replicas of their zone, and with three zones the share would be three
+        times too large. The replica represents all others, as all have a
+        similar load.
 
         Args:
-            own: Requests of this entry at the service, including the answered
-                one.
-            there: Requests of all entries at the replica.
+            own: Requests of this entry at the service, including the
+                one of this response.
+            at_replica: Requests of all entries at the replica.
             replicas: Number of replicas of the service.
         """
-        self._all += max(0, there - 1) * replicas
+        self._all += max(0, at_replica - 1) * replicas
         self._own += max(0, own - 1)
         if self._all > MAX_COUNTED_REQUESTS:
             self._all /= 2
