--- a/gorsefall/policy/limits.py
+++ b/gorsefall/policy/limits.py
@@ -22,21 +22,21 @@
     Attributes:
         rate: Requests per second.
         level: Requests that may be taken now.
-        at: Time of the last refill, s (monotonic).
+        refilled_at: Time of the last refill, s (monotonic).
     """
     rate: float
     level: float
-    at: float
+    refilled_at: float
 
     def refill(self, now, rate):
-        """Adds the tokens accrued since ``at`` and sets a new ``rate``.
+        """Adds the tokens since the last refill and sets a new ``rate``.
 
         A change of the rate keeps the level. Refilling would allow a new burst
         each time an entry joins or leaves (symptom: a class exceeds its rate
         while the VM list changes back and forth).
         """
-        self.level += (now - self.at) * self.rate
-        self.at = now
+        self.level += (now - self.refilled_at) * self.rate
+        self.refilled_at = now
         self.rate = rate
         # The tokens of one second at most, but of one request at least.
         self.level = min(self.level, max(1.0, rate))
