--- a/gorsefall/entry/streams.py
+++ b/gorsefall/entry/streams.py
@@ -1,40 +1,44 @@
-"""The entry's one client of the log service."""
+"""The entry's client of the log service."""
 
 from gorsefall import errors
 from gorsefall import replies
 from gorsefall import streamprotocol
 from gorsefall.net import links
 
-READ_IDLE_S = 5.0
-"""Silence after which a read is given up, s: a page of 1,000 records takes a
-few ms, and what waits for it bears no longer."""
+READ_IDLE_TIMEOUT_S = 5.0
+"""Idle timeout of a read, s.
 
-APPEND_IDLE_S = 1.5
-"""The same for an append, s: half of what a claim may take, so that one that
-was lost can still be looked for."""
+A page of 1,000 records takes a few ms, and the requests that wait for it
+tolerate no longer delay."""
 
+APPEND_IDLE_TIMEOUT_S = 1.5
+"""Idle timeout of an append, s.
 
-class Streams:
-    """Reads and appends records; answers come to a callback.
+It is half of the ledger's claim timeout, so that time is left to search the
+stream for a record whose append failed."""
 
-    ``done`` is called once, never before the method has returned.
+
+class StreamClient:
+    """Reads and appends records; results are passed to a callback.
+
+    The callback ``done`` is called once, after the method has returned.
     """
 
-    def __init__(self, mgr, addr):
+    def __init__(self, component, addr):
         """Creates a client.
 
         Args:
-            mgr: Any component of the process's running circuits tree.
+            component: Any component of the process's running circuits tree.
             addr: ``(host, port)`` of the log service.
         """
-        self._mgr = mgr
+        self._component = component
         self._addr = addr
 
     def read(self, stream, start, limit, done):
-        """Reads up to ``limit`` records from offset ``start`` on.
+        """Reads up to ``limit`` records, starting at offset ``start``.
 
-        ``done(page, exc)`` gets a ``messages.StreamPage`` or an
-        ``errors.LogServiceError``.
+        Calls ``done(page, exc)`` with a ``messages.StreamPage`` and None, or
+        with None and an ``errors.LogServiceError``.
         """
 
         def on_reply(*reply):
@@ -45,18 +49,18 @@
             else:
                 done(page, None)
 
-        links.fetch_json(self._mgr,
+        links.fetch_json(self._component,
                          self._addr,
                          'GET',
                          streamprotocol.read_path(stream, start, limit),
-                         idle_s=READ_IDLE_S,
+                         idle_s=READ_IDLE_TIMEOUT_S,
                          done=on_reply)
 
     def append(self, stream, records, done):
-        """Appends ``records``, msgspec structs.
+        """Appends ``records``, a list of msgspec structs.
 
-        ``done(exc)`` gets None or an ``errors.LogServiceError``; unless that
-        says ``not_run``, the records may have been written.
+        Calls ``done(exc)`` with None or an ``errors.LogServiceError``. Unless
+        the error's ``not_run`` is set, the records may have been written.
         """
 
         def on_reply(status, obj, exc):
@@ -70,10 +74,10 @@
                                        busy=not_run and
                                        status == streamprotocol.BUSY_STATUS))
 
-        links.fetch_json(self._mgr,
+        links.fetch_json(self._component,
                          self._addr,
                          'POST',
                          streamprotocol.append_path(stream),
                          {'records': records},
-                         idle_s=APPEND_IDLE_S,
+                         idle_s=APPEND_IDLE_TIMEOUT_S,
                          done=on_reply)
