--- a/features/environment.py
+++ b/features/environment.py
@@ -49,7 +49,7 @@
     # next one must not fail for it.
     if scenario.status == 'failed' and context.procs is not None:
         from steps import common
-        common.heal(context)
+        common.restore_site(context)
 
 
 def after_feature(context, feature):
--- a/features/steps/caller_steps.py
+++ b/features/steps/caller_steps.py
@@ -33,13 +33,14 @@
 
 @when('an OpenAI client asks entry "{name}" as "{customer}" class "{klass}"')
 def step_openai(context, name, customer, klass):
-    client = openai.OpenAI(base_url=f'http://{common.entry(context, name)}/v1',
-                           api_key='unused',
-                           max_retries=0,
-                           default_headers={
-                               'X-Customer': customer,
-                               'X-Class': klass
-                           })
+    client = openai.OpenAI(
+        base_url=f'http://{common.entry_addr(context, name)}/v1',
+        api_key='unused',
+        max_retries=0,
+        default_headers={
+            'X-Customer': customer,
+            'X-Class': klass
+        })
     msgs = [{'role': 'user', 'content': 'seats from terminal 2 to city?'}]
     whole = client.chat.completions.create(model='default', messages=msgs)
     context.whole = whole.choices[0].message.content
@@ -63,7 +64,7 @@
 @when('"{customer}" calls "{pool}" op "{op}" in class "{klass}"')
 def step_service(context, customer, pool, op, klass):
     context.reply = common.http('POST',
-                                common.entry(context),
+                                common.entry_addr(context),
                                 f'/v1/services/{pool}/{op}', {'seat': '12A'},
                                 headers={
                                     'X-Customer': customer,
@@ -83,7 +84,7 @@
     path, raw, headers = CASES[case]
     hdrs = {'X-Customer': 'traveller-app', 'X-Class': 'seat'} | headers
     context.reply = common.http('POST',
-                                common.entry(context),
+                                common.entry_addr(context),
                                 path,
                                 raw=raw,
                                 headers=hdrs)
--- a/features/steps/catalogue_steps.py
+++ b/features/steps/catalogue_steps.py
@@ -27,7 +27,7 @@
 def _rates(context):
     out = []
     for n in ('entry-a', 'entry-b'):
-        st = common.http('GET', common.entry(context, n), '/status')[1]
+        st = common.http('GET', common.entry_addr(context, n), '/status')[1]
         out.append(st['catalogue']['version'])
     return out
 
@@ -86,10 +86,11 @@
 @when('the log service has the fault {switch} for a while')
 def step_log_fault(context, switch):
     key, _, val = switch.partition('=')
-    common.fault(context, 'log', **{key: True if val == 'true' else float(val)})
+    common.set_faults(context, 'log',
+                      **{key: True if val == 'true' else float(val)})
     time.sleep(1.0)
     context.during = _rates(context)
-    common.fault(context, 'log', outage=False, delay_ms=0.0)
+    common.set_faults(context, 'log', outage=False, delay_ms=0.0)
 
 
 @then('every entry still runs that version')
@@ -102,7 +103,7 @@
 
 @when('the log service keeps only the newest {n:d} records of the catalogue')
 def step_trim(context, n):
-    status, obj, _ = common.http('POST', common.standin(context, 'log'),
+    status, obj, _ = common.http('POST', common.standin_addr(context, 'log'),
                                  '/trim/catalogue', {'keep': n})
     assert status == 200 and obj['start'] > 0, obj
     # A reader from scratch must still find the version.
@@ -121,7 +122,7 @@
 
 
 def _expired(context):
-    _, obj, _ = common.http('GET', common.standin(context, 'log'),
+    _, obj, _ = common.http('GET', common.standin_addr(context, 'log'),
                             '/streams/catalogue/read?start=0&limit=1')
     return obj['start'] == obj['end'] > 0
 
@@ -231,7 +232,7 @@
 @given('the log service loses its next {n:d} replies')
 def step_lose(context, n):
     # The entries' reads do not count: only appends lose their replies.
-    common.fault(context, 'log', lose_reply=n)
+    common.set_faults(context, 'log', lose_reply=n)
 
 
 @when('one operator publishes a change')
@@ -244,4 +245,4 @@
 def step_next_version(context):
     assert context.got == context.base + 1
     common.wait_version(context, context.got)
-    common.fault(context, 'log', lose_reply=0)
+    common.set_faults(context, 'log', lose_reply=0)
--- a/features/steps/common.py
+++ b/features/steps/common.py
@@ -34,11 +34,11 @@
         return status, text, rhdrs
 
 
-def entry(context, name='entry-a'):
+def entry_addr(context, name='entry-a'):
     return context.cfg[name].entry.listen
 
 
-def standin(context, name):
+def standin_addr(context, name):
     for line in (context.site / 'standins.txt').read_text().splitlines():
         parts = line.split()
         if len(parts) == 3 and parts[1] == name:
@@ -48,17 +48,17 @@
 
 def wait_version(context, version, names=('entry-a', 'entry-b')):
     for n in names:
-        waiting.until(lambda n=n: http('GET', entry(context, n), '/status')[1][
-            'catalogue']['version'] >= version,
+        waiting.until(lambda n=n: http('GET', entry_addr(context, n), '/status')
+                      [1]['catalogue']['version'] >= version,
                       f'{n} at v{version}')
 
 
 def wait_replicas(context, names=('entry-a', 'entry-b')):
     """Waits until each entry has heard of every replica and avoids none."""
     for n in names:
-        waiting.until(lambda n=n: all(
-            r['failures'] == 0 and r['report_age_s'] < waiting.TIMEOUT_S
-            for r in http('GET', entry(context, n), '/status')[1]['replicas']),
+        waiting.until(lambda n=n: all(r['failures'] == 0 and r[
+            'report_age_s'] < waiting.TIMEOUT_S for r in http(
+                'GET', entry_addr(context, n), '/status')[1]['replicas']),
                       f'{n} to hear of all replicas')
 
 
@@ -80,14 +80,15 @@
     }
     hdrs = {'X-Customer': customer, 'X-Class': klass} | (headers or {})
     return http('POST',
-                entry(context, name),
+                entry_addr(context, name),
                 '/v1/chat/completions',
                 body,
                 headers=hdrs)
 
 
-def fault(context, name, **switches):
-    status, obj, _ = http('POST', standin(context, name), '/control', switches)
+def set_faults(context, name, **switches):
+    status, obj, _ = http('POST', standin_addr(context, name), '/control',
+                          switches)
     assert status == 200, obj
 
 
@@ -104,7 +105,7 @@
 }
 
 
-def value(text):
+def parse_switch(text):
     """Returns a fault switch's value from its text in a table."""
     if text in ('true', 'false'):
         return text == 'true'
@@ -122,7 +123,7 @@
         context.procs[name] = subprocess.Popen(context.procs[name].args,
                                                stdout=out,
                                                stderr=subprocess.STDOUT)
-    addr = entry(context, name) if name in context.cfg else standin(
+    addr = entry_addr(context, name) if name in context.cfg else standin_addr(
         context, name)
     waiting.until(lambda: is_up(addr), f'{name} back up')
 
@@ -134,7 +135,7 @@
         return False
 
 
-def heal(context):
+def restore_site(context):
     """Wakes, restarts and resets every process of the site."""
     for name, proc in list(context.procs.items()):
         if proc.poll() is None:
@@ -142,12 +143,12 @@
         else:
             respawn(context, name)
     for name in standin_names(context):
-        fault(context, name, **FAULTS_OFF)
+        set_faults(context, name, **FAULTS_OFF)
 
 
 @then('everything is whole again')
 def step_heal_all(context):
-    heal(context)
+    restore_site(context)
 
 
 @given('the site is up with the catalogue in force')
@@ -158,4 +159,4 @@
 
 @then('entry "{name}" still answers health checks')
 def step_health(context, name):
-    assert http('GET', entry(context, name), '/healthz')[0] == 200
+    assert http('GET', entry_addr(context, name), '/healthz')[0] == 200
--- a/features/steps/contract_steps.py
+++ b/features/steps/contract_steps.py
@@ -15,12 +15,12 @@
 
 
 def _append(context, stream, records):
-    return common.http('POST', common.standin(context, 'log'),
+    return common.http('POST', common.standin_addr(context, 'log'),
                        f'/streams/{stream}/append', {'records': records})
 
 
 def _read(context, stream, start=0):
-    return common.http('GET', common.standin(context, 'log'),
+    return common.http('GET', common.standin_addr(context, 'log'),
                        f'/streams/{stream}/read?start={start}&limit=100')
 
 
@@ -67,14 +67,14 @@
         assert context.status is None, context.obj
     else:
         assert context.status == 200 and context.took_s >= 0.7
-    common.fault(context, 'log', **common.FAULTS_OFF, max_appends_per_s=0)
+    common.set_faults(context, 'log', **common.FAULTS_OFF, max_appends_per_s=0)
     _, obj, _ = _read(context, context.stream)
     assert len(obj['records']) == n, obj
 
 
 @when('stream "{stream}" keeps only the newest {n:d} records')
 def step_trim(context, stream, n):
-    common.http('POST', common.standin(context, 'log'), f'/trim/{stream}',
+    common.http('POST', common.standin_addr(context, 'log'), f'/trim/{stream}',
                 {'keep': n})
 
 
@@ -90,7 +90,7 @@
 
 def _generate(context, name, rid, prompt='p', **order):
     """Sends an order; returns the connection and its response, unread."""
-    conn = http.client.HTTPConnection(common.standin(context, name),
+    conn = http.client.HTTPConnection(common.standin_addr(context, name),
                                       timeout=waiting.TIMEOUT_S)
     conn.request('POST', '/generate',
                  json.dumps({
@@ -109,7 +109,7 @@
 
 
 def _stats(context, name):
-    return common.http('GET', common.standin(context, name), '/stats')[1]
+    return common.http('GET', common.standin_addr(context, name), '/stats')[1]
 
 
 @when('engine "{name}" generates a prompt whole and again from token {n:d}')
@@ -133,7 +133,7 @@
 @given('the batch of "{name}" is full of requests of priority 4')
 def step_full(context, name):
     context.name = name
-    common.fault(context, name, slow=1000)
+    common.set_faults(context, name, slow=1000)
     context.conns = [
         _generate(context, name, f'low-{i}', priority=4)[0]
         for i in range(BATCH + 2)
@@ -164,7 +164,7 @@
 
 @then('a waiting request raised to priority 1 goes before the others')
 def step_raised(context):
-    addr = common.standin(context, context.name)
+    addr = common.standin_addr(context, context.name)
     _, obj, _ = common.http('POST', addr, '/priority', {
         'id': f'low-{BATCH + 1}',
         'priority': 1
@@ -176,7 +176,7 @@
         waiting.until(lambda w=who: w in _running(context), f'{who} to run')
     for conn in context.conns:
         conn.close()
-    common.fault(context, context.name, slow=1)
+    common.set_faults(context, context.name, slow=1)
 
 
 def _running(context):
@@ -214,11 +214,11 @@
                         'kv',
                         prompt=context.words,
                         max_tokens=100)
-    _, obj, _ = common.http('POST', common.standin(context, 'engine-3'),
+    _, obj, _ = common.http('POST', common.standin_addr(context, 'engine-3'),
                             '/kv/export', {'id': 'kv'})
     conn.close()
     assert len(obj['blocks']) == 10, obj
-    common.http('POST', common.standin(context, other), '/kv/import', obj)
+    common.http('POST', common.standin_addr(context, other), '/kv/import', obj)
 
 
 @then('"{name}" reads fewer than {n:d} of them')
@@ -228,13 +228,13 @@
 
 @given('"{name}" drops half of its cache events and lags by 1 s')
 def step_drops(context, name):
-    common.fault(context, name, drop_events=0.5, lag_s=1.0)
+    common.set_faults(context, name, drop_events=0.5, lag_s=1.0)
 
 
 @when('"{name}" reads a prompt of {n:d} words')
 def step_reads(context, name, n):
     context.name = name
-    addr = common.standin(context, name)
+    addr = common.standin_addr(context, name)
     context.since = max(
         (e['seq'] for e in common.http('GET', addr, '/events')[1]), default=0)
     context.t0 = time.monotonic()
@@ -242,7 +242,7 @@
 
 
 def _new_events(context):
-    addr = common.standin(context, context.name)
+    addr = common.standin_addr(context, context.name)
     return common.http('GET', addr, f'/events?since={context.since}')[1]
 
 
@@ -253,18 +253,18 @@
     time.sleep(0.2)
     seqs = [e['seq'] for e in _new_events(context)]
     assert len(seqs) < seqs[-1] - seqs[0] + 1 or len(seqs) < 50, seqs
-    common.fault(context, context.name, drop_events=0.0, lag_s=0.0)
+    common.set_faults(context, context.name, drop_events=0.0, lag_s=0.0)
 
 
 @given('"{name}" {does} old fencing numbers')
 def step_fences(context, name, does):
     context.name = name
-    common.fault(context, name, check_fence=does == 'refuses')
+    common.set_faults(context, name, check_fence=does == 'refuses')
 
 
 @when('it gets orders with fences 5, 7 and 6')
 def step_orders(context):
-    addr = common.standin(context, context.name)
+    addr = common.standin_addr(context, context.name)
     context.replies = [
         common.http('POST', addr, '/order', {
             'kind': 'load_model',
@@ -282,24 +282,25 @@
 @given('"{name}" lags by {lag:g} s')
 def step_lag(context, name, lag):
     context.name, context.lag = name, lag
-    common.fault(context, name, lag_s=lag)
+    common.set_faults(context, name, lag_s=lag)
     # What ran before this scenario must be out of the report's window, or
     # its tail can show the expected number too early.
     time.sleep(lag + 0.2)
-    _, report, _ = common.http('GET', common.standin(context, name), '/load')
+    _, report, _ = common.http('GET', common.standin_addr(context, name),
+                               '/load')
     assert report['running'] == 0, report
 
 
 @when('{n:d} requests start at "{name}"')
 def step_start(context, n, name):
-    common.fault(context, name, slow=1000)
+    common.set_faults(context, name, slow=1000)
     context.n, context.t0 = n, time.monotonic()
     context.conns = [_generate(context, name, f'load-{i}')[0] for i in range(n)]
 
 
 @then('its load report shows them only after the lag')
 def step_load(context):
-    addr = common.standin(context, context.name)
+    addr = common.standin_addr(context, context.name)
 
     def shown():
         return common.http('GET', addr, '/load')[1]['running'] == context.n
@@ -308,12 +309,12 @@
     assert time.monotonic() - context.t0 >= context.lag
     for conn in context.conns:
         conn.close()
-    common.fault(context, context.name, slow=1, lag_s=0.0)
+    common.set_faults(context, context.name, slow=1, lag_s=0.0)
 
 
 @when('the weights of a model are read {n:d} times at once')
 def step_weights(context, n):
-    addr = common.standin(context, 'weights')
+    addr = common.standin_addr(context, 'weights')
     context.replies = [
         common.http('GET', addr, '/weights/big') for _ in range(n)
     ]
--- a/features/steps/crashing_steps.py
+++ b/features/steps/crashing_steps.py
@@ -59,7 +59,7 @@
 
 def _ask(context, site, body):
     return wire_callers.send_request(site.callers,
-                                     platform_site.PATHS['idempotent'],
+                                     platform_site.PATH_BY_KIND['idempotent'],
                                      platform_site.new_rid(context),
                                      body=body,
                                      deadline_ms=DEADLINE_MS)
--- a/features/steps/engine_steps.py
+++ b/features/steps/engine_steps.py
@@ -21,13 +21,17 @@
 def step_fault(context, names, switch):
     key, _, val = switch.partition('=')
     for name in names.split(','):
-        common.fault(context, name, **{key: _value(val)})
+        common.set_faults(context, name, **{key: _value(val)})
 
 
 @then('the engines are healed')
 def step_heal(context):
     for name in ENGINES:
-        common.fault(context, name, crash_after=-1, stall=False, outage=False)
+        common.set_faults(context,
+                          name,
+                          crash_after=-1,
+                          stall=False,
+                          outage=False)
 
 
 @when('"{customer}" asks class "{klass}" for a streamed answer')
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -22,12 +22,12 @@
 
 def _mute(context, name):
     # Every stream open there now goes silent; new ones work.
-    stats = common.http('GET', common.standin(context, name), '/stats')[1]
-    common.fault(context, name, mute=stats['running'] + stats['waiting'])
+    stats = common.http('GET', common.standin_addr(context, name), '/stats')[1]
+    common.set_faults(context, name, mute=stats['running'] + stats['waiting'])
 
 
 def _crash_loop(context, name):
-    common.fault(context, name, crash_after=2)
+    common.set_faults(context, name, crash_after=2)
 
 
 WHAT = {
@@ -49,7 +49,7 @@
 
     def idle():
         stats = [
-            common.http('GET', common.standin(context, n), '/stats')[1]
+            common.http('GET', common.standin_addr(context, n), '/stats')[1]
             for n in own_steps.ENGINES
         ]
         return all(s['running'] + s['waiting'] == 0 for s in stats)
@@ -61,9 +61,9 @@
 def step_has_fault(context, who, switch):
     name = {'log service': 'log', 'VM list': 'vmlist'}[who]
     key, _, val = switch.partition('=')
-    common.fault(context, name, **{key: common.value(val)})
+    common.set_faults(context, name, **{key: common.parse_switch(val)})
 
 
 @then('the log service is whole again')
 def step_log_whole(context):
-    common.fault(context, 'log', **common.FAULTS_OFF, max_appends_per_s=0)
+    common.set_faults(context, 'log', **common.FAULTS_OFF, max_appends_per_s=0)
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -14,7 +14,7 @@
 
 def _entries(context):
     return [
-        common.http('GET', common.entry(context, n), '/status')[1]
+        common.http('GET', common.entry_addr(context, n), '/status')[1]
         for n in ('entry-a', 'entry-b')
     ]
 
@@ -36,7 +36,7 @@
                                                    stdout=out,
                                                    stderr=subprocess.STDOUT)
         waiting.until(lambda: common.is_up(context.extra_addr), f'{name} up')
-    launch.list_vm(common.standin(context, 'vmlist'),
+    launch.list_vm(common.standin_addr(context, 'vmlist'),
                    name=name,
                    addr=context.extra_addr,
                    zone='az1',
@@ -57,7 +57,7 @@
 
 @when('the VM list drops "{name}"')
 def step_drop(context, name):
-    status, obj, _ = common.http('POST', common.standin(context, 'vmlist'),
+    status, obj, _ = common.http('POST', common.standin_addr(context, 'vmlist'),
                                  '/drop', {'name': name})
     assert status == 200, obj
     if name.startswith('engine'):
@@ -68,7 +68,7 @@
 
 @when('the VM list shows a third entry "{name}"')
 def step_third(context, name):
-    launch.list_vm(common.standin(context, 'vmlist'),
+    launch.list_vm(common.standin_addr(context, 'vmlist'),
                    name=name,
                    addr=context.third_addr,
                    zone='az3',
@@ -89,14 +89,14 @@
 @when('the VM list has the fault {switch} for a while')
 def step_vm_fault(context, switch):
     key, _, val = switch.partition('=')
-    common.fault(context, 'vmlist', **{key: common.value(val)})
+    common.set_faults(context, 'vmlist', **{key: common.parse_switch(val)})
     time.sleep(1.0)
 
 
 @then('"{name}" is still leaving at every entry')
 def step_still(context, name):
     assert _states(context, name) == ['leaving'] * 2, _states(context, name)
-    common.fault(context, 'vmlist', **common.FAULTS_OFF)
+    common.set_faults(context, 'vmlist', **common.FAULTS_OFF)
 
 
 @then('a seat request sent to entry "{name}" is still answered whole')
--- a/features/steps/level_steps.py
+++ b/features/steps/level_steps.py
@@ -63,7 +63,7 @@
 def _stats(context, key):
     return {
         n:
-            common.http('GET', common.standin(context, n), '/stats')
+            common.http('GET', common.standin_addr(context, n), '/stats')
             [1].get(key, 0) for n in own_steps.ENGINES
     }
 
@@ -77,7 +77,7 @@
     # "it was promoted": callers in one busy process left the pool room, and
     # the notice was answered before it counted as starved.
     for name in own_steps.ENGINES:
-        common.fault(context, name, slow=SLOWNESS[part])
+        common.set_faults(context, name, slow=SLOWNESS[part])
 
 
 @given('the pool is full of driver notices and more wait')
@@ -149,7 +149,7 @@
 
 
 def _promoted(context):
-    text = common.http('GET', common.entry(context), '/metrics')[1]
+    text = common.http('GET', common.entry_addr(context), '/metrics')[1]
     return sum(
         float(line.rsplit(' ', 1)[1])
         for line in text.splitlines()
@@ -205,7 +205,7 @@
 
 @given('the replica {name} {what}')
 def step_engine_fault(context, name, what):
-    common.fault(context, name, **FAULTS[what])
+    common.set_faults(context, name, **FAULTS[what])
 
 
 @when('{n:d} seat requests are answered one after the other')
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -26,10 +26,11 @@
     statuses = []
     while time.monotonic() < end:
         site = context.sites[len(statuses) % len(context.sites)]
-        reply = wire_callers.send_request(site.callers,
-                                          platform_site.PATHS['idempotent'],
-                                          platform_site.new_rid(context),
-                                          body=b'good %d' % len(statuses))
+        reply = wire_callers.send_request(
+            site.callers,
+            platform_site.PATH_BY_KIND['idempotent'],
+            platform_site.new_rid(context),
+            body=b'good %d' % len(statuses))
         statuses.append(reply.status)
         time.sleep(PAUSE_S)
     return statuses
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -15,20 +15,20 @@
 
 
 def _engine_tokens(context, name):
-    addr = context.extra_addr if name == 'engine-6' else common.standin(
+    addr = context.extra_addr if name == 'engine-6' else common.standin_addr(
         context, name)
     return common.http('GET', addr, '/stats')[1]['tokens_out']
 
 
 @given('the VM list lags by {lag:g} s')
 def step_lag(context, lag):
-    common.fault(context, 'vmlist', lag_s=lag)
+    common.set_faults(context, 'vmlist', lag_s=lag)
     context.lag = lag
 
 
 @step('the VM list shows "{name}" leaving and the entries have polled it')
 def step_leaving(context, name):
-    status, obj, _ = common.http('POST', common.standin(context, 'vmlist'),
+    status, obj, _ = common.http('POST', common.standin_addr(context, 'vmlist'),
                                  '/vms', {
                                      'name': name,
                                      'addr': '',
@@ -39,7 +39,7 @@
 
     def seen():
         for e in ('entry-a', 'entry-b'):
-            st = common.http('GET', common.entry(context, e), '/status')[1]
+            st = common.http('GET', common.entry_addr(context, e), '/status')[1]
             reps = {r['name']: r['state'] for r in st['replicas']}
             if reps[name] != 'leaving':
                 return False
@@ -72,7 +72,7 @@
     # Engines emit a token every 20 steps (60 ms): the shortest answer (8
     # tokens) outlasts the signal, the longest (120) ends within drain_s.
     for i in range(1, 6):
-        common.fault(context, f'engine-{i}', slow=20)
+        common.set_faults(context, f'engine-{i}', slow=20)
     context.results = [None] * n
     started = threading.Barrier(n + 1)
 
@@ -92,8 +92,8 @@
         t.start()
     started.wait()
     waiting.until(
-        lambda: common.http('GET', common.entry(context, name), '/status')[1][
-            'running'] >= n, 'answers in flight')
+        lambda: common.http('GET', common.entry_addr(context, name), '/status')[
+            1]['running'] >= n, 'answers in flight')
 
 
 @when('entry "{name}" gets SIGTERM')
@@ -103,7 +103,8 @@
 
 @then('entry "{name}" reports not ready at once')
 def step_not_ready(context, name):
-    status, obj, _ = common.http('GET', common.entry(context, name), '/readyz')
+    status, obj, _ = common.http('GET', common.entry_addr(context, name),
+                                 '/readyz')
     assert status == 503 and obj['ready'] is False, (status, obj)
 
 
@@ -125,4 +126,4 @@
 def step_exits(context, name):
     assert context.procs[name].wait(timeout=waiting.TIMEOUT_S) == 0
     for i in range(1, 6):
-        common.fault(context, f'engine-{i}', slow=1)
+        common.set_faults(context, f'engine-{i}', slow=1)
--- a/features/steps/once_steps.py
+++ b/features/steps/once_steps.py
@@ -61,12 +61,13 @@
     names = {'the log': ('log',), 'the service': own_steps.BOOKING}[place]
     context.slowed = names
     for name in names:
-        common.fault(context, name, delay_ms=float(ms))
+        common.set_faults(context, name, delay_ms=float(ms))
 
 
 def _claimed(context, key):
     """Whether the log service's newest ledger record claims ``key``."""
-    _, obj, _ = common.http('GET', common.standin(context, 'log'), '/stats')
+    _, obj, _ = common.http('GET', common.standin_addr(context, 'log'),
+                            '/stats')
     newest = obj['newest'].get('ledger', {})
     return (newest.get('kind'), newest.get('key')) == ('claim',
                                                        f'{CUSTOMER}/{key}')
@@ -117,7 +118,7 @@
 
 @then('after entry "{name}" is back, key "{key}" ran {runs}')
 def step_back(context, name, key, runs):
-    common.heal(context)
+    common.restore_site(context)
     context.thread.join(timeout=waiting.TIMEOUT_S)
     if runs == 'exactly once':
         waiting.until(lambda: _runs(context, key) >= 1, f'{key} to run')
@@ -130,7 +131,7 @@
 def step_no_key(context, n, name):
     context.replies = [
         common.http('POST',
-                    common.entry(context, name),
+                    common.entry_addr(context, name),
                     '/v1/services/booking/charge', {'n': i},
                     headers={
                         'X-Customer': CUSTOMER,
@@ -150,7 +151,7 @@
 @when('"{customer}" charges something else with key "{key}" at {name}')
 def step_other(context, customer, key, name):
     context.reply = common.http('POST',
-                                common.entry(context, name),
+                                common.entry_addr(context, name),
                                 '/v1/services/booking/charge',
                                 {'who': 'somebody else'},
                                 headers={
@@ -162,4 +163,4 @@
 
 @given('the log service takes only {n:d} appends a second')
 def step_limit(context, n):
-    common.fault(context, 'log', max_appends_per_s=n)
+    common.set_faults(context, 'log', max_appends_per_s=n)
--- a/features/steps/operations_steps.py
+++ b/features/steps/operations_steps.py
@@ -65,7 +65,7 @@
 @then('the streams end whole and the new settings are in force')
 def step_reloaded(context):
     for reply in context.replies:
-        assert reply.complete and reply.body == platform_site.EVENTS, reply
+        assert reply.complete and reply.body == platform_site.STREAM_BODY, reply
     context.platform.store.mode = 'silent'
     waiting.until(lambda: _ask(context).status == 503, 'the shorter bound')
 
@@ -86,7 +86,7 @@
     site = context.platform
     before = len(_events(site, 'retry'))
     for _ in range(asks):
-        for name in platform_site.PLAIN:
+        for name in platform_site.PLAIN_REPLICAS:
             site.replicas[name].script.clear()
             site.replicas[name].script.append('resets')
         _ask(context)
@@ -174,7 +174,7 @@
 @when('callers do not read while replicas send without end')
 def step_flood(context):
     site = context.platform
-    for name in platform_site.POOL:
+    for name in platform_site.POOL_REPLICAS:
         site.replicas[name].script.extend(['floods'] * FLOODED_CALLERS)
     for i in range(FLOODED_CALLERS):
         sock = wire_callers.connect(site.callers)
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -33,9 +33,9 @@
     waiting.until(lambda: _in_force(site, 2), 'the configuration')
     held = context.platform_held = contextlib.ExitStack()
     context.add_cleanup(held.close)
-    for name in platform_site.POOL:
+    for name in platform_site.POOL_REPLICAS:
         site.replicas[name].script.append('hangs')
-    for i in range(len(platform_site.POOL)):
+    for i in range(len(platform_site.POOL_REPLICAS)):
         sock = held.enter_context(wire_callers.connect(site.callers))
         sock.sendall(
             wire_callers.request_bytes(
--- a/features/steps/own_steps.py
+++ b/features/steps/own_steps.py
@@ -22,7 +22,7 @@
 
 def charge(context, customer, key, name):
     return common.http('POST',
-                       common.entry(context, name),
+                       common.entry_addr(context, name),
                        '/v1/services/booking/charge', {'who': customer},
                        headers={
                            'X-Customer': customer,
@@ -34,7 +34,8 @@
 def runs(context):
     total = {}
     for rep in BOOKING:
-        _, obj, _ = common.http('GET', common.standin(context, rep), '/stats')
+        _, obj, _ = common.http('GET', common.standin_addr(context, rep),
+                                '/stats')
         for key, n in obj['runs'].items():
             total[key] = total.get(key, 0) + n
     return total
@@ -42,26 +43,26 @@
 
 @given('the booking replica "{name}" cuts its next {n:d} replies half way')
 def step_cut_one(context, name, n):
-    common.fault(context, name, cut_reply=n)
+    common.set_faults(context, name, cut_reply=n)
 
 
 @given('every booking replica cuts its next {n:d} replies half way')
 def step_cut_all(context, n):
     for name in BOOKING:
-        common.fault(context, name, cut_reply=n)
+        common.set_faults(context, name, cut_reply=n)
 
 
 @then('the booking replicas answer whole again')
 def step_uncut(context):
     for name in BOOKING:
-        common.fault(context, name, cut_reply=0)
+        common.set_faults(context, name, cut_reply=0)
 
 
 @when('"{customer}" makes {n:d} seat queries')
 def step_queries(context, customer, n):
     context.replies = [
         common.http('POST',
-                    common.entry(context),
+                    common.entry_addr(context),
                     '/v1/services/booking/seat_query', {'n': i},
                     headers={
                         'X-Customer': customer,
@@ -113,7 +114,7 @@
 @given('engines step slowly')
 def step_slow(context):
     for name in ENGINES:
-        common.fault(context, name, slow=100)
+        common.set_faults(context, name, slow=100)
 
 
 @then('engines step normally')
@@ -121,11 +122,11 @@
     for conn in getattr(context, 'held', []):
         conn.close()
     for name in ENGINES:
-        common.fault(context, name, slow=1)
+        common.set_faults(context, name, slow=1)
 
 
 def _open_stream(context, i):
-    conn = http.client.HTTPConnection(common.entry(context, 'entry-a'),
+    conn = http.client.HTTPConnection(common.entry_addr(context, 'entry-a'),
                                       timeout=waiting.TIMEOUT_S)
     body = json.dumps({
         'model': 'default',
@@ -167,7 +168,8 @@
 
 
 def status(context):
-    return common.http('GET', common.entry(context, 'entry-a'), '/status')[1]
+    return common.http('GET', common.entry_addr(context, 'entry-a'),
+                       '/status')[1]
 
 
 @then('no replica has requests in flight from entry-a')
@@ -183,7 +185,7 @@
 
 @then('the tokens of the abandoned answers count as wasted')
 def step_wasted(context):
-    text = common.http('GET', common.entry(context), '/metrics')[1]
+    text = common.http('GET', common.entry_addr(context), '/metrics')[1]
     wasted = sum(
         float(line.rsplit(' ', 1)[1])
         for line in text.splitlines()
@@ -237,7 +239,7 @@
 def step_two_on_one(context, case):
     path, raw, headers = caller_steps.CASES[case]
     hdrs = {'X-Customer': 'traveller-app', 'X-Class': 'seat'} | headers
-    host, _, port = common.entry(context).partition(':')
+    host, _, port = common.entry_addr(context).partition(':')
     with socket.create_connection((host, int(port)), timeout=5) as sock:
         sock.sendall(_raw_request('POST', path, raw, hdrs))
         context.first = _read_until_quiet(sock)
--- a/features/steps/platform_site.py
+++ b/features/steps/platform_site.py
@@ -13,14 +13,15 @@
 
 from gorsefall.standins import ports  # noqa: E402
 
-PATHS = {
+PATH_BY_KIND = {
     'idempotent': '/i/x?q=1',
     'non_idempotent': '/n/x',
     'streaming': '/s/x',
     'resumable': '/r/x',
 }
-EVENTS = b''.join(b'id: %d\ndata: piece %d\n\n' % (i, i) for i in range(1, 5))
-PLAIN, POOL = ('p1', 'p2'), ('e1', 'e2')
+STREAM_BODY = b''.join(
+    b'id: %d\ndata: piece %d\n\n' % (i, i) for i in range(1, 5))
+PLAIN_REPLICAS, POOL_REPLICAS = ('p1', 'p2'), ('e1', 'e2')
 
 
 def new_rid(context):
@@ -35,9 +36,9 @@
     held.callback(site.close)
     context.add_cleanup(held.close)
     context.platform = site
-    for name in PLAIN:
+    for name in PLAIN_REPLICAS:
         site.add(name, 'plain')
-    for name in POOL:
+    for name in POOL_REPLICAS:
         site.add(name, 'pool')
     if configured:
         site.store.put('keyed.op', 'config', standin.config(1))
@@ -61,10 +62,10 @@
     return sites
 
 
-def ask(context, kind='idempotent', **kw):
+def send_request(context, kind='idempotent', **kw):
     site = context.platform
     context.rid = new_rid(context)
-    context.reply = wire_callers.send_request(site.callers, PATHS[kind],
+    context.reply = wire_callers.send_request(site.callers, PATH_BY_KIND[kind],
                                               context.rid, **kw)
     return context.reply
 
@@ -77,10 +78,11 @@
     return sorted(found, key=lambda run: run[1].at)
 
 
-def script(context, kind, fault):
+def script_fault(context, kind, fault):
     # The first replica that gets the request has the fault, the second not:
     # the fault goes to both and is taken back from the other by a marker.
-    names = POOL if kind in ('streaming', 'resumable') else PLAIN
+    names = POOL_REPLICAS if kind in ('streaming',
+                                      'resumable') else PLAIN_REPLICAS
     replicas = [context.platform.replicas[n] for n in names]
     shared = OneFault(fault)
     for replica in replicas:
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -22,7 +22,7 @@
 
 @given('only one pool replica is left')
 def step_one_left(context):
-    *gone, _ = platform_site.POOL
+    *gone, _ = platform_site.POOL_REPLICAS
     for name in gone:
         context.platform.store.put('keyed.servers', name, None)
     waiting.until(
@@ -33,11 +33,11 @@
 
 @when('a "{kind}" request meets a replica that "{fault}"')
 def step_meets(context, kind, fault):
-    platform_site.script(context, kind, fault)
+    platform_site.script_fault(context, kind, fault)
     context.kind = kind
-    platform_site.ask(context,
-                      kind,
-                      body=b'' if kind == 'idempotent' else b'body')
+    platform_site.send_request(context,
+                               kind,
+                               body=b'' if kind == 'idempotent' else b'body')
 
 
 @then('the caller gets status {status:d} and "{body}"')
@@ -51,12 +51,12 @@
         assert reply.complete and reply.body == want, reply
         assert reply.headers['replica-seal'] == wire_replica.SEAL
     elif body == 'events':
-        assert reply.complete and reply.body == platform_site.EVENTS, reply
+        assert reply.complete and reply.body == platform_site.STREAM_BODY, reply
         # The head stays that of the first replica.
         seals = {f'{wire_replica.SEAL}.{name}' for name, _ in ran}
         assert reply.headers['replica-seal'] in seals
     elif body == 'broken':
-        assert not reply.complete and platform_site.EVENTS.startswith(
+        assert not reply.complete and platform_site.STREAM_BODY.startswith(
             reply.body), reply
         assert reply.body, reply
     else:
@@ -86,7 +86,7 @@
     # refused connection there was taken for a request that had not run.
     site = context.platform
     shared = platform_site.OneFault(fault)
-    replicas = [site.replicas[n] for n in (*platform_site.POOL, 'e3')]
+    replicas = [site.replicas[n] for n in (*platform_site.POOL_REPLICAS, 'e3')]
 
     def copy_goes(req):
         # Before the first event: looked for from here, the run was at times
@@ -100,11 +100,11 @@
         if copy == 'gone':
             replica.on_run = copy_goes
     context.rid = platform_site.new_rid(context)
-    request = wire_callers.request_bytes(platform_site.PATHS['streaming'],
-                                         context.rid,
-                                         body=b'x',
-                                         extra=('Model: m',
-                                                'Token-Count: 10,400'))
+    request = wire_callers.request_bytes(
+        platform_site.PATH_BY_KIND['streaming'],
+        context.rid,
+        body=b'x',
+        extra=('Model: m', 'Token-Count: 10,400'))
     with wire_callers.connect(site.callers) as sock:
         sock.sendall(request)
         context.reply = wire_callers.read_response(sock)
@@ -123,12 +123,13 @@
 @when('requests follow each other past replicas that answer twice')
 def step_twice(context):
     context.replies = []
-    for name in platform_site.PLAIN:
+    for name in platform_site.PLAIN_REPLICAS:
         context.platform.replicas[name].script.extend(
             ['answers twice', 'answers twice later', 'ok'] * 5)
     for _ in range(30):
         context.replies.append(
-            platform_site.ask(context) and (context.rid, context.reply))
+            platform_site.send_request(context) and
+            (context.rid, context.reply))
         time.sleep(0.01)
 
 
@@ -142,12 +143,13 @@
 
 @when('a caller leaves while its "{kind}" request runs')
 def step_leaves(context, kind):
-    platform_site.script(context, kind, 'hangs')
+    platform_site.script_fault(context, kind, 'hangs')
     site = context.platform
     context.rid = platform_site.new_rid(context)
     with wire_callers.connect(site.callers) as sock:
         sock.sendall(
-            wire_callers.request_bytes(platform_site.PATHS[kind], context.rid))
+            wire_callers.request_bytes(platform_site.PATH_BY_KIND[kind],
+                                       context.rid))
         waiting.until(lambda: platform_site.runs_of(context, context.rid),
                       'the run')
 
@@ -162,20 +164,20 @@
 
 @when('a caller sends headers that only the system may set')
 def step_forged(context):
-    platform_site.ask(context,
-                      'non_idempotent',
-                      body=b'\x00\xffbody',
-                      method='PUT',
-                      extra=('Tenant: desk', 'Expect-Replica: e9',
-                             'Urgency-Class: 0', 'X-Own: kept',
-                             'Connection: X-Hop', 'X-Hop: dropped'))
+    platform_site.send_request(context,
+                               'non_idempotent',
+                               body=b'\x00\xffbody',
+                               method='PUT',
+                               extra=('Tenant: desk', 'Expect-Replica: e9',
+                                      'Urgency-Class: 0', 'X-Own: kept',
+                                      'Connection: X-Hop', 'X-Hop: dropped'))
 
 
 @then('the replica got the request\'s own bytes and the system\'s orders')
 def step_told(context):
     (name, req), = platform_site.runs_of(context, context.rid)
-    assert (req.method, req.target) == ('PUT',
-                                        platform_site.PATHS['non_idempotent'])
+    assert (req.method,
+            req.target) == ('PUT', platform_site.PATH_BY_KIND['non_idempotent'])
     assert req.body == b'\x00\xffbody'
     fields = req.headers
     assert fields['tenant'] == 'gate' and fields['expect-replica'] == name
@@ -191,7 +193,7 @@
 
 
 def _bad_request(context, case):
-    rid, path = context.rid, platform_site.PATHS['idempotent']
+    rid, path = context.rid, platform_site.PATH_BY_KIND['idempotent']
     make = wire_callers.request_bytes
     return {
         'an unknown path': lambda: make('/none/x', rid),
--- a/features/steps/platform_stop_steps.py
+++ b/features/steps/platform_stop_steps.py
@@ -20,7 +20,7 @@
         futs = [
             pool.submit(wire_callers.send_request,
                         site.callers,
-                        platform_site.PATHS['streaming'],
+                        platform_site.PATH_BY_KIND['streaming'],
                         platform_site.new_rid(context),
                         body=b'x') for _ in range(8)
         ]
@@ -33,11 +33,11 @@
     site = context.platform
     assert wire_callers.status(site.readiness) == 503
     late = wire_callers.send_request(site.callers,
-                                     platform_site.PATHS['idempotent'],
+                                     platform_site.PATH_BY_KIND['idempotent'],
                                      platform_site.new_rid(context))
     assert late.status == 200 and late.headers['connection'] == 'close', late
     for reply in context.replies:
-        assert reply.complete and reply.body == platform_site.EVENTS, reply
+        assert reply.complete and reply.body == platform_site.STREAM_BODY, reply
     assert site.proc.wait(timeout=20) == 0
 
 
@@ -56,7 +56,7 @@
             try:
                 reply = wire_callers.send_request(
                     site.callers,
-                    platform_site.PATHS['streaming'],
+                    platform_site.PATH_BY_KIND['streaming'],
                     rid,
                     body=b'x')
             except OSError:
@@ -89,7 +89,7 @@
     # callers whom the balancer still sends are served on. Cause: channels
     # were accepted for as long as anything ran.
     site = context.platform
-    for name in platform_site.POOL:
+    for name in platform_site.POOL_REPLICAS:
         site.replicas[name].script.append('hangs')
     with wire_callers.connect(site.callers) as sock:
         sock.sendall(
@@ -97,8 +97,8 @@
                                        platform_site.new_rid(context),
                                        deadline_ms=60000))
         waiting.until(
-            lambda: any(site.replicas[n].runs for n in platform_site.POOL),
-            'the run')
+            lambda: any(site.replicas[n].runs
+                        for n in platform_site.POOL_REPLICAS), 'the run')
         site.proc.send_signal(signal.SIGTERM)
         waiting.until(lambda: wire_callers.status(site.callers) is None,
                       'refused channels')
@@ -120,6 +120,6 @@
 @then('it is not ready and answers {status:d}')
 def step_unknowing(context, status):
     assert wire_callers.status(context.platform.readiness) == 503
-    reply = platform_site.ask(context)
+    reply = platform_site.send_request(context)
     assert reply.status == status, reply
     assert 'retry-after' in reply.headers, reply
--- a/features/steps/platform_store_steps.py
+++ b/features/steps/platform_store_steps.py
@@ -14,7 +14,7 @@
 
 @when('the key of "{account}" is taken away')
 def step_revoke(context, account):
-    assert platform_site.ask(context).status == 200
+    assert platform_site.send_request(context).status == 200
     keys = {k: a for k, a in standin.ACCOUNTS_BY_KEY.items() if a != account}
     context.platform.store.put('keyed.op', 'config', standin.config(2,
                                                                     keys=keys))
@@ -22,7 +22,7 @@
 
 @then('requests with it get status {status:d} soon')
 def step_soon(context, status):
-    waiting.until(lambda: platform_site.ask(context).status == status,
+    waiting.until(lambda: platform_site.send_request(context).status == status,
                   'the new version')
     assert not platform_site.runs_of(context, context.rid)
 
@@ -35,7 +35,7 @@
     context.replies = []
     end = time.monotonic() + 4
     while time.monotonic() < end:
-        context.replies.append(platform_site.ask(context))
+        context.replies.append(platform_site.send_request(context))
         time.sleep(0.01)
 
 
@@ -53,7 +53,7 @@
 
 @then('requests with a key get status {status:d} within the bound')
 def step_bound(context, status):
-    waiting.until(lambda: platform_site.ask(context).status == status,
+    waiting.until(lambda: platform_site.send_request(context).status == status,
                   'the lapsed proof')
     assert 'retry-after' in context.reply.headers
     waiting.until(
@@ -78,7 +78,8 @@
 
 @then('requests with a key are served again')
 def step_served_again(context):
-    waiting.until(lambda: platform_site.ask(context).status == 200, 'service')
+    waiting.until(lambda: platform_site.send_request(context).status == 200,
+                  'service')
 
 
 @when('the store forgets its history while versions follow each other')
@@ -123,7 +124,7 @@
             for ln in context.platform.log()
             if ln['event'] == 'record_spoilt'
         } == {'config', 'e9'}, 'the log lines')
-    assert platform_site.ask(context).status == 200
+    assert platform_site.send_request(context).status == 200
 
 
 @when('a plain replica says that it is draining')
@@ -140,7 +141,7 @@
     def quiet():
         before = len(replica.received_requests)
         for _ in range(10):
-            assert platform_site.ask(context).status == 200
+            assert platform_site.send_request(context).status == 200
         return len(replica.received_requests) == before
 
     waiting.until(quiet, 'no new work')
@@ -154,7 +155,7 @@
     waiting.until(
         lambda: sum(ln['event'] == 'store_lost' for ln in site.log()) == 2,
         'the store lost on both topics')
-    for name in platform_site.PLAIN:
+    for name in platform_site.PLAIN_REPLICAS:
         site.store.put('keyed.servers', name, None)
     site.store.mode = 'ok'
 
@@ -164,11 +165,11 @@
     site = context.platform
     waiting.until(
         lambda: sum(ln['event'] == 'replica_doubtful'
-                    for ln in site.log()) == len(platform_site.PLAIN),
+                    for ln in site.log()) == len(platform_site.PLAIN_REPLICAS),
         'the lapsed records')
-    assert platform_site.ask(context).status == 200, context.reply
-    for name in platform_site.PLAIN:
+    assert platform_site.send_request(context).status == 200, context.reply
+    for name in platform_site.PLAIN_REPLICAS:
         site.store.put('keyed.servers', name, site.replicas[name].record())
     time.sleep(3)
-    assert platform_site.ask(context).status == 200, context.reply
+    assert platform_site.send_request(context).status == 200, context.reply
     assert not any(ln['event'] == 'replica_gone' for ln in site.log())
--- a/features/steps/service_steps.py
+++ b/features/steps/service_steps.py
@@ -19,10 +19,10 @@
         # The entry routes by load; put the fault on every replica so the
         # call surely meets it.
         for rep in BOOKING:
-            common.fault(context, rep, **{key: value})
+            common.set_faults(context, rep, **{key: value})
         context.faulted = (BOOKING, key)
     else:
-        common.fault(context, name, **{key: value})
+        common.set_faults(context, name, **{key: value})
         context.faulted = ((name,), key)
 
 
@@ -37,20 +37,22 @@
     for name in ('entry-a', 'entry-b'):
         context.replies.append(
             common.http('POST',
-                        common.entry(context, name),
+                        common.entry_addr(context, name),
                         '/v1/services/booking/charge', {'seat': '12A'},
                         headers=hdrs))
     if context.faulted:
         names, key_ = context.faulted
         for n in names:
-            common.fault(context, n, **{key_: False if key_ == 'outage' else 0})
+            common.set_faults(context, n,
+                              **{key_: False if key_ == 'outage' else 0})
 
 
 @then('the booking services ran key "{key}" exactly {runs:d} time')
 def step_runs(context, key, runs):
     total = 0
     for rep in BOOKING:
-        _, obj, _ = common.http('GET', common.standin(context, rep), '/stats')
+        _, obj, _ = common.http('GET', common.standin_addr(context, rep),
+                                '/stats')
         total += obj['runs'].get(f'traveller-app/{key}', 0)
     assert total == runs, (total, context.replies)
 
--- a/features/steps/sharing_steps.py
+++ b/features/steps/sharing_steps.py
@@ -28,7 +28,7 @@
 def step_five(context):
     context.sites = platform_site.new_sites(context, 5, REVOKE_S)
     first = context.platform = context.sites[0]
-    for name in platform_site.PLAIN:
+    for name in platform_site.PLAIN_REPLICAS:
         first.add(name, 'plain')
     first.store.put('keyed.op', 'config', standin.config(1))
     for site in context.sites:
