--- a/features/environment.py
+++ b/features/environment.py
@@ -20,9 +20,9 @@
     context.site_stack = contextlib.ExitStack()
     context.site = context.site_stack.enter_context(
         ports.site(SITE, f'{context.tmp}/site'))
-    take = context.site_stack.enter_context(ports.free())
-    context.extra_addr = f'127.0.0.1:{take()}'
-    context.third_addr = f'127.0.0.1:{take()}'
+    next_port = context.site_stack.enter_context(ports.free())
+    context.extra_addr = f'127.0.0.1:{next_port()}'
+    context.third_addr = f'127.0.0.1:{next_port()}'
     context.cfg = {
         n: settings.load(context.site / f'{n}.toml')
         for n in ('entry-a', 'entry-b')
@@ -39,14 +39,14 @@
     publish.publish(context.log_addr, doc, 'test')
     from steps import common
     common.wait_version(context, 1)
-    # An engine that was asked before it listened is out for a while: the
-    # scenarios count on all of them.
+    # An engine that was probed before it listened is avoided for a while, but
+    # the scenarios need all engines.
     common.wait_replicas(context)
 
 
 def after_scenario(context, scenario):
-    # A failed scenario may leave processes frozen, dead or faulty; the
-    # next one must not fail for it.
+    # A failed scenario may leave processes frozen, dead or faulty, which must
+    # not fail the next scenario.
     if scenario.status == 'failed' and context.procs is not None:
         from steps import common
         common.restore_site(context)
--- a/features/platform.feature
+++ b/features/platform.feature
@@ -1,9 +1,10 @@
 @nosite @platform
-Feature: the entry on the platform's wire
+Feature: the entry with the platform's wire formats
 
-  Symptom in each row: a caller gets what is not its own whole answer, or a
-  request that must run once runs again. Sequence: a replica treats one
-  request as the row says. Cause: an answer taken for what it is not.
+  Guards against a caller that gets an incomplete response or one of another
+  request, and against a second run of a request that must run only once. A
+  replica handles one request as the row says, and the entry misreads the
+  outcome.
 
   Background:
     Given an entry on the platform with two plain and two pool replicas
@@ -51,21 +52,21 @@
       | resumable      | breaks inside an event | 200    | events   | 2    |
       | resumable      | breaks before an event | 200    | events   | 2    |
 
-  # Symptom: answers end broken in the middle while their replica is at work.
-  # Sequence: one replica is left; what it runs is put back for more urgent
-  # work and goes on 1.4 s later. Cause: a silent stream was given up for
-  # another replica, though there was none.
+  # Guards against streams that are aborted while their replica still works.
+  # The only replica preempts a run for more urgent requests and resumes it
+  # 1.4 s later. The entry must not abandon the stream for another replica when
+  # there is none.
   Scenario: a stream that is silent for long at the only replica
     Given only one pool replica is left
     When a "resumable" request meets a replica that "is silent after two events"
     Then the caller gets status 200 and "events"
     And the request ran 1 times
 
-  Scenario Outline: a long answer whose replica <fault>, its copy <copy>
+  Scenario Outline: a long response whose replica <fault>, its KV backup's replica <copy>
     Given a third pool replica
-    When a long answer's replica "<fault>" while its copy's replica is <copy>
+    When the replica of a long response "<fault>" while its KV backup's replica is <copy>
     Then the caller gets status 200 and "<body>"
-    And it ran once and went on <times> times
+    And it ran once and was resumed <times> times
 
     Examples:
       | fault                    | copy | body   | times |
@@ -75,22 +76,22 @@
       | goes dark after two events | up | events | 1     |
       | goes dark after two events | gone | broken | 0   |
 
-  Scenario: a second answer never reaches the next caller
-    When requests follow each other past replicas that answer twice
-    Then each caller got its own answer
+  Scenario: a second response never reaches the next caller
+    When requests are sent one after another to replicas that answer twice
+    Then each caller got its own response
 
-  Scenario: a caller that leaves stops the work
-    When a caller leaves while its "idempotent" request runs
-    Then the replica sees the request's channel close
+  Scenario: a caller that disconnects cancels its request
+    When a caller disconnects while its "idempotent" request runs
+    Then the replica sees the request's connection close
 
-  Scenario: what a replica is told
-    When a caller sends headers that only the system may set
-    Then the replica got the request's own bytes and the system's orders
+  Scenario: which headers a replica receives
+    When a caller sends headers that only the entry may set
+    Then the replica got the request unchanged and the entry's own headers
     And the replica did not get the caller's key
 
   Scenario Outline: a request that the configuration does not allow: <case>
     When a caller sends "<case>"
-    Then the caller gets status <status> and no replica saw it
+    Then the caller gets status <status> and no replica received it
 
     Examples:
       | case             | status |
@@ -103,58 +104,58 @@
       | a large body     | 413    |
       | no request       | 400    |
 
-  Scenario: a key that was taken away
-    When the key of "gate" is taken away
-    Then requests with it get status 401 soon
+  Scenario: a revoked key
+    When the key of "gate" is revoked
+    Then requests with that key soon get status 401
 
   Scenario: a short bound on revoked keys
-    When requests with a key come for longer than the bound
-    Then none is refused while the store answers
+    When requests with a key arrive for longer than the revocation bound
+    Then no request is refused while the store responds
 
-  Scenario: a store that falls silent after a key was taken away
-    When the store falls silent
-    Then requests with a key get status 503 within the bound
+  Scenario: a store that stops responding, so that a key may be revoked unseen
+    When the store stops responding
+    Then requests with a key get status 503 within the revocation bound
     And requests on an open route are still served
-    When the store answers again
+    When the store responds again
     Then requests with a key are served again
 
-  Scenario: a configuration through a store that forgets its history
-    When the store forgets its history while versions follow each other
-    Then the newest version is in force
+  Scenario: a configuration read from a store that drops its history
+    When the store drops its history while new versions are written
+    Then the newest version is active
 
-  Scenario: a spoilt record
-    When a record that cannot be decoded is written
-    Then it is logged, and requests are still served
+  Scenario: malformed records
+    When records that cannot be decoded are written
+    Then they are logged, and requests are still served
 
   Scenario: a replica that is draining
-    When a plain replica says that it is draining
-    Then it soon gets no new work
+    When a plain replica reports that it is draining
+    Then it soon receives no new requests
 
-  Scenario: replicas whose records lapse while the store is away
-    When the store is away while the records of all plain replicas lapse
-    Then requests are served after its return
+  Scenario: replicas whose records lapse while the store is unavailable
+    When the store is unavailable while all plain replicas' records lapse
+    Then requests are served when the store is available again
 
-  Scenario: nothing is cut by a shutdown
-    When the entry is told to stop while streams run
-    Then it is not ready, ends them whole and exits by itself
+  Scenario: a shutdown truncates no stream
+    When the entry gets a stop signal while streams run
+    Then it is not ready, completes the streams and exits by itself
 
-  Scenario: requests that come until the very end of a shutdown
-    When the entry is told to stop while callers keep coming
-    Then every request that was handed on was answered whole
+  Scenario: requests that arrive until the end of a shutdown
+    When the entry gets a stop signal while requests keep arriving
+    Then every request that reached a replica got a complete response
 
-  Scenario: requests that come late in a shutdown, beside a long one
-    When the entry is told to stop while a request hangs
-    Then it takes no new channel once the balancer had time to notice
+  Scenario: requests that arrive late in a shutdown while a long one runs
+    When the entry gets a stop signal while a request hangs
+    Then it accepts no new connection once the load balancer had time to notice
 
-  Scenario: an entry that knows no configuration
-    When an entry starts while the store is silent
-    Then it is not ready and answers 503
+  Scenario: an entry without a configuration
+    When an entry starts while the store does not respond
+    Then it is not ready and responds with status 503
 
-  # Symptom: under a burst everybody in a replica's queue is late and leaves
-  # before the answer. Sequence: prompts queue at every replica; more come.
-  # Cause: what can only come late was queued all the same.
-  Scenario: a queue that is too long for the less urgent
+  # Guards against a burst in which every queued request misses its deadline
+  # and its caller disconnects before the response. Prompts queue at every
+  # replica and more arrive: a request that can only be late must not be queued.
+  Scenario: a queue that is too long for less urgent requests
     Given long prompts wait at every pool replica
-    When a less urgent and a more urgent request come
-    Then the less urgent one is told at once when to return and never runs
+    When a less urgent and a more urgent request arrive
+    Then the less urgent one is refused at once, gets a retry time and never runs
     And the more urgent one is served
--- a/features/platform_limits.feature
+++ b/features/platform_limits.feature
@@ -1,15 +1,15 @@
 @nosite @platform
-Feature: replicas that name how many requests a second they take
+Feature: replicas that announce how many requests per second they accept
 
-  Guards against a replica in need that gets what each entry alone may send,
-  times the number of entries.
+  Guards against an overloaded replica that receives its announced limit from
+  each entry separately, which is the limit times the number of entries.
 
   Background:
     Given five entries on the platform before replicas that can crash
 
-  Scenario: a replica names a limit for a while
-    When a replica names a limit of 1 a second while requests come to all entries
-    Then it gets no more than one and a half times that, and five, in any 4 s
+  Scenario: a replica announces a limit and withdraws it
+    When a replica announces a limit of 1 request per second while requests arrive at all entries
+    Then it receives at most 1.5 times the limit plus five requests in any 4 s
     And all requests are served
-    When it names no limit any more while requests come to all entries
-    Then it gets its part of the requests again
+    When it withdraws the limit while requests arrive at all entries
+    Then it receives its share of the requests again
--- a/features/steps/common.py
+++ b/features/steps/common.py
@@ -54,12 +54,12 @@
 
 
 def wait_replicas(context, names=('entry-a', 'entry-b')):
-    """Waits until each entry has heard of every replica and avoids none."""
+    """Waits until each entry has all load reports and avoids no replica."""
     for n in names:
         waiting.until(lambda n=n: all(r['failures'] == 0 and r[
             'report_age_s'] < waiting.TIMEOUT_S for r in http(
                 'GET', entry_addr(context, n), '/status')[1]['replicas']),
-                      f'{n} to hear of all replicas')
+                      f'{n} to use all replicas')
 
 
 def chat(context,
@@ -106,7 +106,7 @@
 
 
 def parse_switch(text):
-    """Returns a fault switch's value from its text in a table."""
+    """Returns the value of a fault switch from its text in a table."""
     if text in ('true', 'false'):
         return text == 'true'
     return float(text) if '.' in text else int(text)
@@ -118,7 +118,7 @@
 
 
 def respawn(context, name):
-    """Starts a process that has ended again, with the same command."""
+    """Restarts a process that has exited, with the same command."""
     with open(f'{context.tmp}/{name}-again.log', 'ab') as out:
         context.procs[name] = subprocess.Popen(context.procs[name].args,
                                                stdout=out,
@@ -136,7 +136,7 @@
 
 
 def restore_site(context):
-    """Wakes, restarts and resets every process of the site."""
+    """Resumes or restarts every process of the site and clears its faults."""
     for name, proc in list(context.procs.items()):
         if proc.poll() is None:
             proc.send_signal(signal.SIGCONT)
@@ -147,7 +147,7 @@
 
 
 @then('everything is whole again')
-def step_heal_all(context):
+def step_restore_site(context):
     restore_site(context)
 
 
--- a/features/steps/crashing_steps.py
+++ b/features/steps/crashing_steps.py
@@ -16,35 +16,37 @@
 
 from gorsefall.standins import waiting
 
-REPLICAS = 6
+REPLICA_COUNT = 6
 
-CONTACT_S = 3.0
-"""Time in which what one entry saw is known to all, s: the platform's bound."""
+PROPAGATION_S = 3.0
+"""Time in which all entries learn what one has observed, s: the platform's
+bound."""
 
-MOST_AFTER = 3
-"""Sends that may reach replicas later than that after the third crash."""
+MAX_LATE_RUNS = 3
+"""Attempts that may reach replicas later than ``PROPAGATION_S`` after the third
+crash."""
 
 ROUNDS = 4
-"""Times that the request comes to each entry."""
+"""Number of times that the request is sent to each entry."""
 
-BETWEEN_S = 0.5
-"""Pause between two of its callers, s."""
+CALLER_INTERVAL_S = 0.5
+"""Pause between two callers of the poison request, s."""
 
 DEADLINE_MS = 1500
 
-BURSTS = 3
+BURST_COUNT = 3
 
-UNDER_WAY_S = 0.25
-"""Time after which replicas crash under requests that take 0.8 s, s."""
+CRASH_DELAY_S = 0.25
+"""Time after which replicas crash while they run requests of 0.8 s, s."""
 
-GUILTY = wire_replica.CRASH_MARKER + b', and then something more'
+POISON_BODY = wire_replica.CRASH_MARKER + b', and then something more'
 
 
 @given('five entries on the platform before replicas that can crash')
 def step_site(context):
     context.sites = platform_site.new_sites(context, 5, revoke_s=4.0)
     first = context.platform = context.sites[0]
-    for i in range(REPLICAS):
+    for i in range(REPLICA_COUNT):
         first.add_crashable(f'p{i}', 'plain')
     first.store.put('keyed.op', 'config', standin.config(1))
     for site in context.sites:
@@ -54,10 +56,11 @@
 
 
 def _wait_ready(site):
-    waiting.until(lambda: wire_callers.status(site.readiness) == 200, 'ready')
+    waiting.until(lambda: wire_callers.status(site.readiness) == 200,
+                  'the entry to be ready')
 
 
-def _ask(context, site, body):
+def _send_request(context, site, body):
     return wire_callers.send_request(site.callers,
                                      platform_site.PATH_BY_KIND['idempotent'],
                                      platform_site.new_rid(context),
@@ -66,7 +69,7 @@
 
 
 def _runs(context, body):
-    """Returns when each run of ``body`` began at a replica, in order."""
+    """Returns the sorted start times of the runs of ``body`` at replicas."""
     replicas = list(context.platform.replicas.values())
     return sorted(req.at
                   for replica in replicas
@@ -74,25 +77,27 @@
                   if req.body == body)
 
 
-@when('a request that crashes its replicas comes to each entry in turn')
-def step_guilty(context):
+@when('a request that crashes its replicas is sent to each entry in turn')
+def step_poison(context):
     context.replies = []
     for _ in range(ROUNDS):
         for site in context.sites:
-            context.replies.append(_ask(context, site, GUILTY))
-            time.sleep(BETWEEN_S)
+            context.replies.append(_send_request(context, site, POISON_BODY))
+            time.sleep(CALLER_INTERVAL_S)
 
 
-@then('at most three sends of it reach replicas once the entries had time to '
-      'tell')
-def step_few(context):
-    runs = _runs(context, GUILTY)
+@then('at most three attempts reach replicas after the entries had time to '
+      'share crashes')
+def step_few_runs(context):
+    runs = _runs(context, POISON_BODY)
     assert len(runs) >= 3, runs
-    late = [at for at in runs if at > runs[2] + CONTACT_S]
-    assert len(late) <= MOST_AFTER, [round(at - runs[2], 2) for at in runs]
+    late_runs = [at for at in runs if at > runs[2] + PROPAGATION_S]
+    assert len(late_runs) <= MAX_LATE_RUNS, [
+        round(at - runs[2], 2) for at in runs
+    ]
 
 
-@then('its last callers get a final answer at once')
+@then('its last callers get a final response at once')
 def step_final(context):
     for reply in context.replies[-len(context.sites):]:
         assert reply.status == 400 and reply.complete, reply
@@ -102,20 +107,21 @@
 @then('good requests of the same caller are served at all five')
 def step_good(context):
     for site in context.sites:
-        waiting.until(lambda s=site: _ask(context, s, b'good').status == 200,
-                      'a good request served')
+        waiting.until(
+            lambda s=site: _send_request(context, s, b'good').status == 200,
+            'a good request to be served')
 
 
-@when('an entry is killed and starts again')
+@when('an entry is killed and restarted')
 def step_restart(context):
-    context.again = [context.sites[-1]]
-    _restart(context.again)
+    context.restarted = [context.sites[-1]]
+    _restart(context.restarted)
 
 
-@when('all entries are killed and start again')
+@when('all entries are killed and restarted')
 def step_restart_all(context):
-    context.again = context.sites
-    _restart(context.again)
+    context.restarted = context.sites
+    _restart(context.restarted)
 
 
 def _restart(sites):
@@ -126,19 +132,19 @@
         site.start()
     for site in sites:
         _wait_ready(site)
-    time.sleep(CONTACT_S)
+    time.sleep(PROPAGATION_S)
 
 
-@then('the request soon gets a final answer there')
-def step_known(context):
-    before = len(_runs(context, GUILTY))
-    for site in context.again:
-        reply = _ask(context, site, GUILTY)
+@then('the request soon gets a final response there')
+def step_refused_after_restart(context):
+    before = len(_runs(context, POISON_BODY))
+    for site in context.restarted:
+        reply = _send_request(context, site, POISON_BODY)
         assert reply.status == 400, reply
-    assert len(_runs(context, GUILTY)) == before
+    assert len(_runs(context, POISON_BODY)) == before
 
 
-class _Always:
+class _RepeatedFault:
     """A script with the same fault for each request."""
 
     def __init__(self, fault):
@@ -148,30 +154,34 @@
         return self._fault
 
 
-@when('a third of the replicas crash at once, thrice, under the same good '
-      'requests')
+@when('a third of the replicas crash at once, three times, under the same '
+      'good requests')
 def step_bursts(context):
-    context.good = [b'good %d' % i for i in range(10)]
-    slow = _Always('answers slowly')
-    for _ in range(BURSTS):
-        up = waiting.until(lambda: _all_up(context), 'all replicas')
-        for replica in up:
-            replica.scripts_by_body = dict.fromkeys(context.good, slow)
-        with concurrent.futures.ThreadPoolExecutor(len(context.good)) as pool:
-            answers = [
-                pool.submit(_ask, context, site, body) for site, body in zip(
-                    itertools.cycle(context.sites), context.good, strict=False)
+    context.good_bodies = [b'good %d' % i for i in range(10)]
+    slow = _RepeatedFault('answers slowly')
+    for _ in range(BURST_COUNT):
+        replicas = waiting.until(lambda: _all_up(context),
+                                 'all replicas to be up')
+        for replica in replicas:
+            replica.scripts_by_body = dict.fromkeys(context.good_bodies, slow)
+        with concurrent.futures.ThreadPoolExecutor(len(
+                context.good_bodies)) as pool:
+            futs = [
+                pool.submit(_send_request, context, site, body)
+                for site, body in zip(itertools.cycle(context.sites),
+                                      context.good_bodies,
+                                      strict=False)
             ]
-            time.sleep(UNDER_WAY_S)
-            for replica in up[:REPLICAS // 3]:
+            time.sleep(CRASH_DELAY_S)
+            for replica in replicas[:REPLICA_COUNT // 3]:
                 replica.crash()
-            for answer in answers:
-                answer.result()
+            for fut in futs:
+                fut.result()
 
 
 def _all_up(context):
-    up = [r for r in context.platform.replicas.values() if not r.crashed]
-    return up if len(up) == REPLICAS else None
+    replicas = [r for r in context.platform.replicas.values() if not r.crashed]
+    return replicas if len(replicas) == REPLICA_COUNT else None
 
 
 @then('the good requests are served at all five')
@@ -179,20 +189,20 @@
     for replica in context.platform.replicas.values():
         replica.scripts_by_body = {}
     for site in context.sites:
-        for body in context.good:
-            reply = waiting.until(
-                lambda s=site, b=body: _answered(_ask(context, s, b)),
-                'an answer')
+        for body in context.good_bodies:
+            reply = waiting.until(lambda s=site, b=body: _final_reply(
+                _send_request(context, s, b)),
+                                  'a final response')
             assert reply.status == 200, reply
 
 
-def _answered(reply):
-    """Returns the reply unless it says to come back, or that all is open."""
+def _final_reply(reply):
+    """Returns the reply, or None if it is a refusal or an unknown outcome."""
     return reply if reply.status not in (502, 503) else None
 
 
-@then('nobody blames them')
-def step_nobody_blames(context):
+@then('no entry marks them as poison requests')
+def step_not_poison(context):
     for site in context.sites:
         blamed = [ln for ln in site.log() if ln['event'] == 'request_blamed']
         assert not blamed, blamed
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the feature on replicas that name a limit."""
+"""Steps of the feature on replicas that announce a limit."""
 
 import time
 
@@ -8,20 +8,20 @@
 
 import wire_callers
 
-CONTACT_S = 3.0
-"""Time from the first naming until the limit binds, s."""
+PROPAGATION_S = 3.0
+"""Time from the first announcement until the limit is binding, s."""
 
 WINDOW_S = 4.0
-FACTOR, SPARE = 1.5, 5
-"""What the replica's operators allow beside the limit, in a window."""
+LIMIT_FACTOR, EXTRA_REQUESTS = 1.5, 5
+"""Excess over the limit that the replica's operators allow in a window."""
 
 LOAD_S = 11.0
 PAUSE_S = 0.02
-"""Pause between two requests, s: some forty a second."""
+"""Pause between two requests, s: about 40 requests per second."""
 
 
-def _load(context, for_s):
-    """Sends requests to the entries in turn; returns their statuses."""
+def _send_requests(context, for_s):
+    """Sends requests to the entries in turn and returns their statuses."""
     end = time.monotonic() + for_s
     statuses = []
     while time.monotonic() < end:
@@ -36,27 +36,29 @@
     return statuses
 
 
-@when('a replica names a limit of {limit:d} a second while requests come to '
-      'all entries')
+@when('a replica announces a limit of {limit:d} request per second while '
+      'requests arrive at all entries')
 def step_limit(context, limit):
-    _load(context, 1.0)
+    _send_requests(context, 1.0)
     context.replica = next(iter(context.platform.replicas.values()))
     context.limit = context.replica.announced_limit = limit
-    context.named_at = time.monotonic()
-    context.statuses = _load(context, LOAD_S)
+    context.announced_at = time.monotonic()
+    context.statuses = _send_requests(context, LOAD_S)
 
 
-@then('it gets no more than one and a half times that, and five, in any 4 s')
-def step_kept(context):
-    at = [
+@then('it receives at most 1.5 times the limit plus five requests in any 4 s')
+def step_within_limit(context):
+    times = [
         req.at
         for req in context.replica.received_requests
-        if req.at > context.named_at + CONTACT_S
+        if req.at > context.announced_at + PROPAGATION_S
     ]
-    most = max((
-        sum(since <= other < since + WINDOW_S for other in at) for since in at),
-               default=0)
-    assert most <= FACTOR * WINDOW_S * context.limit + SPARE, most
+    max_count = max((sum(start <= time_s < start + WINDOW_S
+                         for time_s in times)
+                     for start in times),
+                    default=0)
+    assert max_count <= (LIMIT_FACTOR * WINDOW_S * context.limit +
+                         EXTRA_REQUESTS), max_count
 
 
 @then('all requests are served')
@@ -64,16 +66,16 @@
     assert set(context.statuses) == {200}, context.statuses
 
 
-@when('it names no limit any more while requests come to all entries')
-def step_over(context):
+@when('it withdraws the limit while requests arrive at all entries')
+def step_withdraw(context):
     context.replica.announced_limit = None
-    _load(context, CONTACT_S)
-    context.before = len(context.replica.received_requests)
-    context.statuses = _load(context, CONTACT_S)
+    _send_requests(context, PROPAGATION_S)
+    context.received_before = len(context.replica.received_requests)
+    context.statuses = _send_requests(context, PROPAGATION_S)
 
 
-@then('it gets its part of the requests again')
-def step_part(context):
-    part = len(context.statuses) / len(context.platform.replicas)
-    got = len(context.replica.received_requests) - context.before
-    assert got > part / 2, (got, part)
+@then('it receives its share of the requests again')
+def step_share(context):
+    share = len(context.statuses) / len(context.platform.replicas)
+    received = len(context.replica.received_requests) - context.received_before
+    assert received > share / 2, (received, share)
--- a/features/steps/platform_site.py
+++ b/features/steps/platform_site.py
@@ -1,4 +1,4 @@
-"""What the steps on the platform share: a site, and requests to it."""
+"""Helpers of the platform steps: starting sites and sending requests."""
 
 import contextlib
 import pathlib
@@ -25,16 +25,16 @@
 
 
 def new_rid(context):
-    context.count = getattr(context, 'count', 0) + 1
-    return f'{context.count:016x}'
+    context.request_count = getattr(context, 'request_count', 0) + 1
+    return f'{context.request_count:016x}'
 
 
 def new_site(context, configured=True):
-    held = context.ports_held = contextlib.ExitStack()
-    take = held.enter_context(ports.free())
-    site = standin.Site(tempfile.mkdtemp(dir=context.tmp), take)
-    held.callback(site.close)
-    context.add_cleanup(held.close)
+    resources = context.site_resources = contextlib.ExitStack()
+    next_port = resources.enter_context(ports.free())
+    site = standin.Site(tempfile.mkdtemp(dir=context.tmp), next_port)
+    resources.callback(site.close)
+    context.add_cleanup(resources.close)
     context.platform = site
     for name in PLAIN_REPLICAS:
         site.add(name, 'plain')
@@ -46,18 +46,18 @@
 
 
 def new_sites(context, count, revoke_s):
-    """Returns sites with an entry each, which share a store and hear others."""
-    held = context.ports_held = contextlib.ExitStack()
-    context.add_cleanup(held.close)
-    port = held.enter_context(ports.free())()
+    """Returns sites of one entry each, which are peers and share a store."""
+    resources = context.site_resources = contextlib.ExitStack()
+    context.add_cleanup(resources.close)
+    port = resources.enter_context(ports.free())()
     sites = []
     for i in range(count):
         site = standin.Site(tempfile.mkdtemp(dir=context.tmp),
-                            held.enter_context(ports.free()),
+                            resources.enter_context(ports.free()),
                             store=sites[0].store if sites else None,
                             peers=f'127.0.0.{i + 2}:{port}',
                             revoke_s=revoke_s)
-        held.callback(site.close)
+        resources.callback(site.close)
         sites.append(site)
     return sites
 
@@ -71,16 +71,16 @@
 
 
 def runs_of(context, rid):
-    found = [(name, req)
-             for name, replica in context.platform.replicas.items()
-             for req in replica.runs
-             if req.headers['attempt-id'] == rid]
-    return sorted(found, key=lambda run: run[1].at)
+    runs = [(name, req)
+            for name, replica in context.platform.replicas.items()
+            for req in replica.runs
+            if req.headers['attempt-id'] == rid]
+    return sorted(runs, key=lambda run: run[1].at)
 
 
 def script_fault(context, kind, fault):
-    # The first replica that gets the request has the fault, the second not:
-    # the fault goes to both and is taken back from the other by a marker.
+    # Only the first replica that gets the request has the fault. Which one that
+    # is isn't known beforehand, so both replicas share a script of one fault.
     names = POOL_REPLICAS if kind in ('streaming',
                                       'resumable') else PLAIN_REPLICAS
     replicas = [context.platform.replicas[n] for n in names]
@@ -90,13 +90,13 @@
 
 
 class OneFault:
-    """A script that several replicas share: one fault, then none."""
+    """A script of one fault that several replicas share."""
 
     def __init__(self, fault):
-        self._left = [fault]
+        self._remaining = [fault]
 
     def __bool__(self):
-        return bool(self._left)
+        return bool(self._remaining)
 
     def popleft(self):
-        return self._left.pop()
+        return self._remaining.pop()
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the platform feature: requests and their answers."""
+"""Steps of the platform feature: requests and their responses."""
 
 import time
 
@@ -21,18 +21,18 @@
 
 
 @given('only one pool replica is left')
-def step_one_left(context):
-    *gone, _ = platform_site.POOL_REPLICAS
-    for name in gone:
+def step_one_replica(context):
+    *removed, _ = platform_site.POOL_REPLICAS
+    for name in removed:
         context.platform.store.put('keyed.servers', name, None)
     waiting.until(
         lambda: sum(ln['event'] == 'replica_gone'
-                    for ln in context.platform.log()) == len(gone),
-        'the replicas that left')
+                    for ln in context.platform.log()) == len(removed),
+        'the entry to remove the replicas')
 
 
 @when('a "{kind}" request meets a replica that "{fault}"')
-def step_meets(context, kind, fault):
+def step_send_with_fault(context, kind, fault):
     platform_site.script_fault(context, kind, fault)
     context.kind = kind
     platform_site.send_request(context,
@@ -41,19 +41,19 @@
 
 
 @then('the caller gets status {status:d} and "{body}"')
-def step_gets(context, status, body):
+def step_response(context, status, body):
     reply = context.reply
     assert reply.status == status, reply
-    ran = platform_site.runs_of(context, context.rid)
+    runs = platform_site.runs_of(context, context.rid)
     if body == 'whole':
-        name, req = ran[-1]
-        want = f'{name}:{req.method}:{req.target}:'.encode() + req.body
-        assert reply.complete and reply.body == want, reply
+        name, req = runs[-1]
+        expected = f'{name}:{req.method}:{req.target}:'.encode() + req.body
+        assert reply.complete and reply.body == expected, reply
         assert reply.headers['replica-seal'] == wire_replica.SEAL
     elif body == 'events':
         assert reply.complete and reply.body == platform_site.STREAM_BODY, reply
-        # The head stays that of the first replica.
-        seals = {f'{wire_replica.SEAL}.{name}' for name, _ in ran}
+        # The headers are those of the first replica.
+        seals = {f'{wire_replica.SEAL}.{name}' for name, _ in runs}
         assert reply.headers['replica-seal'] in seals
     elif body == 'broken':
         assert not reply.complete and platform_site.STREAM_BODY.startswith(
@@ -64,10 +64,10 @@
         assert ('retry-after' in reply.headers) == (body == 'not run')
 
 
-@then('the request ran {runs:d} times')
-def step_ran(context, runs):
-    ran = platform_site.runs_of(context, context.rid)
-    assert len(ran) == runs, ran
+@then('the request ran {count:d} times')
+def step_run_count(context, count):
+    runs = platform_site.runs_of(context, context.rid)
+    assert len(runs) == count, runs
 
 
 @given('a third pool replica')
@@ -76,21 +76,22 @@
     site.add('e3', 'pool')
     waiting.until(
         lambda: any(ln['event'] == 'replica_seen' and ln['replica'] == 'e3'
-                    for ln in site.log()), 'the third replica')
+                    for ln in site.log()), 'the entry to see the third replica')
 
 
-@when('a long answer\'s replica "{fault}" while its copy\'s replica is {copy}')
-def step_copied(context, fault, copy):
-    # Symptom: a piece came twice, a request ran twice. Sequence: a replica
-    # crashes in mid-stream, and the one with the copy with it. Cause: the
-    # refused connection there was taken for a request that had not run.
+@when('the replica of a long response "{fault}" while its KV backup\'s replica '
+      'is {copy}')
+def step_backup(context, fault, copy):
+    # Guards against a repeated event or a second run when a replica crashes in
+    # the middle of a stream together with the replica that holds its KV backup:
+    # the connection refused there must not count as a request that has not run.
     site = context.platform
     shared = platform_site.OneFault(fault)
     replicas = [site.replicas[n] for n in (*platform_site.POOL_REPLICAS, 'e3')]
 
-    def copy_goes(req):
-        # Before the first event: looked for from here, the run was at times
-        # over and gone on with when its copy's replica went.
+    def close_backup(req):
+        # Runs before the first event. If the step polled for the run instead,
+        # the run could be over and resumed before the backup's replica closes.
         for replica in replicas:
             if replica.addr == req.headers['kv-backup']:
                 replica.close()
@@ -98,7 +99,7 @@
     for replica in replicas:
         replica.script = shared
         if copy == 'gone':
-            replica.on_run = copy_goes
+            replica.on_run = close_backup
     context.rid = platform_site.new_rid(context)
     request = wire_callers.request_bytes(
         platform_site.PATH_BY_KIND['streaming'],
@@ -110,18 +111,18 @@
         context.reply = wire_callers.read_response(sock)
 
 
-@then('it ran once and went on {times:d} times')
-def step_went_on(context, times):
+@then('it ran once and was resumed {times:d} times')
+def step_resumed(context, times):
     assert len(platform_site.runs_of(context, context.rid)) == 1
-    continued = [
+    resumed = [
         req for replica in context.platform.replicas.values()
         for req in replica.resumed_requests
     ]
-    assert len(continued) == times, continued
+    assert len(resumed) == times, resumed
 
 
-@when('requests follow each other past replicas that answer twice')
-def step_twice(context):
+@when('requests are sent one after another to replicas that answer twice')
+def step_double_responses(context):
     context.replies = []
     for name in platform_site.PLAIN_REPLICAS:
         context.platform.replicas[name].script.extend(
@@ -133,16 +134,16 @@
         time.sleep(0.01)
 
 
-@then('each caller got its own answer')
-def step_own(context):
+@then('each caller got its own response')
+def step_own_response(context):
     for rid, reply in context.replies:
         assert reply.status == 200 and reply.complete, reply
         assert reply.headers['attempt-id'] == rid, reply
         assert len(platform_site.runs_of(context, rid)) == 1
 
 
-@when('a caller leaves while its "{kind}" request runs')
-def step_leaves(context, kind):
+@when('a caller disconnects while its "{kind}" request runs')
+def step_disconnect(context, kind):
     platform_site.script_fault(context, kind, 'hangs')
     site = context.platform
     context.rid = platform_site.new_rid(context)
@@ -151,19 +152,19 @@
             wire_callers.request_bytes(platform_site.PATH_BY_KIND[kind],
                                        context.rid))
         waiting.until(lambda: platform_site.runs_of(context, context.rid),
-                      'the run')
+                      'the request to run')
 
 
-@then('the replica sees the request\'s channel close')
+@then('the replica sees the request\'s connection close')
 def step_close_seen(context):
     waiting.until(
         lambda: any(context.rid in r.abandoned_ids
                     for r in context.platform.replicas.values()),
-        'the closed channel')
+        'the replica to see the closed connection')
 
 
-@when('a caller sends headers that only the system may set')
-def step_forged(context):
+@when('a caller sends headers that only the entry may set')
+def step_reserved_headers(context):
     platform_site.send_request(context,
                                'non_idempotent',
                                body=b'\x00\xffbody',
@@ -173,17 +174,17 @@
                                       'Connection: X-Hop', 'X-Hop: dropped'))
 
 
-@then('the replica got the request\'s own bytes and the system\'s orders')
-def step_told(context):
+@then('the replica got the request unchanged and the entry\'s own headers')
+def step_received_headers(context):
     (name, req), = platform_site.runs_of(context, context.rid)
     assert (req.method,
             req.target) == ('PUT', platform_site.PATH_BY_KIND['non_idempotent'])
     assert req.body == b'\x00\xffbody'
-    fields = req.headers
-    assert fields['tenant'] == 'gate' and fields['expect-replica'] == name
-    assert fields['x-own'] == 'kept' and fields['host'] == 'h.example'
-    assert 'x-hop' not in fields and 'urgency-class' not in fields
-    assert 0 < int(fields['deadline-ms']) <= 1500
+    headers = req.headers
+    assert headers['tenant'] == 'gate' and headers['expect-replica'] == name
+    assert headers['x-own'] == 'kept' and headers['host'] == 'h.example'
+    assert 'x-hop' not in headers and 'urgency-class' not in headers
+    assert 0 < int(headers['deadline-ms']) <= 1500
 
 
 @then('the replica did not get the caller\'s key')
@@ -194,28 +195,28 @@
 
 def _bad_request(context, case):
     rid, path = context.rid, platform_site.PATH_BY_KIND['idempotent']
-    make = wire_callers.request_bytes
+    encode = wire_callers.request_bytes
     return {
-        'an unknown path': lambda: make('/none/x', rid),
-        'an unknown host': lambda: make(path, rid, host='other.example'),
-        'an unknown key': lambda: make(path, rid, key='k-none'),
-        'no key': lambda: make(path, rid, key=None),
-        'no request id': lambda: make(path, rid).replace(b'Attempt-Id', b'X'),
-        'a large head': lambda: make(path, rid, extra=('X: ' + 'a' * 9000,)),
-        'a large body': lambda: make(path, rid, body=b'a' * 30000),
+        'an unknown path': lambda: encode('/none/x', rid),
+        'an unknown host': lambda: encode(path, rid, host='other.example'),
+        'an unknown key': lambda: encode(path, rid, key='k-none'),
+        'no key': lambda: encode(path, rid, key=None),
+        'no request id': lambda: encode(path, rid).replace(b'Attempt-Id', b'X'),
+        'a large head': lambda: encode(path, rid, extra=('X: ' + 'a' * 9000,)),
+        'a large body': lambda: encode(path, rid, body=b'a' * 30000),
         'no request': lambda: b'\x16\x03\x01 hello\r\n\r\n',
     }[case]()
 
 
 @when('a caller sends "{case}"')
-def step_bad(context, case):
+def step_bad_request(context, case):
     context.rid = platform_site.new_rid(context)
     with wire_callers.connect(context.platform.callers) as sock:
         sock.sendall(_bad_request(context, case))
         context.reply = wire_callers.read_response(sock)
 
 
-@then('the caller gets status {status:d} and no replica saw it')
+@then('the caller gets status {status:d} and no replica received it')
 def step_denied(context, status):
     assert context.reply.status == status, context.reply
     for replica in context.platform.replicas.values():
--- a/features/steps/platform_stop_steps.py
+++ b/features/steps/platform_stop_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the platform feature: how an entry ends, and how it starts."""
+"""Steps of the platform feature: shutdown and start of an entry."""
 
 import concurrent.futures
 import signal
@@ -13,7 +13,7 @@
 from gorsefall.standins import waiting
 
 
-@when('the entry is told to stop while streams run')
+@when('the entry gets a stop signal while streams run')
 def step_stop(context):
     site = context.platform
     with concurrent.futures.ThreadPoolExecutor(8) as pool:
@@ -28,7 +28,7 @@
         context.replies = [f.result() for f in futs]
 
 
-@then('it is not ready, ends them whole and exits by itself')
+@then('it is not ready, completes the streams and exits by itself')
 def step_stopped(context):
     site = context.platform
     assert wire_callers.status(site.readiness) == 503
@@ -41,16 +41,16 @@
     assert site.proc.wait(timeout=20) == 0
 
 
-@when('the entry is told to stop while callers keep coming')
+@when('the entry gets a stop signal while requests keep arriving')
 def step_stop_busy(context):
-    # Symptom: a stream cut 80 ms after it began, 3 s after the stop signal.
-    # Sequence: the entry has nothing in flight and decides to end; a caller
-    # that no other entry could take connects before it does.
-    # Cause: requests were read between the decision and the exit.
+    # Guards against a stream that is truncated because the entry reads its
+    # request between deciding to exit and exiting: with nothing in flight the
+    # entry decides to exit, then a caller without another entry connects. The
+    # stream was truncated 80 ms after it began, 3 s after the stop signal.
     site = context.platform
-    context.asked = []
+    context.outcomes = []
 
-    def keep_asking(n):
+    def send_until_exit(n):
         while site.proc.poll() is None:
             rid = f'{n:08x}{time.monotonic_ns() & 0xffffffff:08x}'
             try:
@@ -61,33 +61,33 @@
                     body=b'x')
             except OSError:
                 continue
-            context.asked.append((rid, reply))
+            context.outcomes.append((rid, reply))
 
     with concurrent.futures.ThreadPoolExecutor(4) as pool:
-        futs = [pool.submit(keep_asking, n) for n in range(4)]
+        futs = [pool.submit(send_until_exit, n) for n in range(4)]
         time.sleep(0.1)
         site.proc.send_signal(signal.SIGTERM)
         for fut in futs:
             fut.result()
 
 
-@then('every request that was handed on was answered whole')
-def step_answered_whole(context):
-    whole = {rid for rid, reply in context.asked if reply.complete}
-    assert len(whole) > 50, len(whole)
-    cut = [
-        rid for rid, _ in context.asked
-        if rid not in whole and platform_site.runs_of(context, rid)
+@then('every request that reached a replica got a complete response')
+def step_all_complete(context):
+    complete = {rid for rid, reply in context.outcomes if reply.complete}
+    assert len(complete) > 50, len(complete)
+    truncated = [
+        rid for rid, _ in context.outcomes
+        if rid not in complete and platform_site.runs_of(context, rid)
     ]
-    assert not cut, cut
+    assert not truncated, truncated
 
 
-@when('the entry is told to stop while a request hangs')
-def step_stop_hangs(context):
-    # Symptom: a stream cut at the end of the grace time, taken 4.7 s after
-    # the stop signal. Sequence: one long answer keeps the entry from ending;
-    # callers whom the balancer still sends are served on. Cause: channels
-    # were accepted for as long as anything ran.
+@when('the entry gets a stop signal while a request hangs')
+def step_stop_long_request(context):
+    # Guards against an entry that accepts connections for as long as a request
+    # runs. One long response delays the exit, the load balancer keeps sending
+    # callers, and the grace period truncates their streams: one that was
+    # accepted 4.7 s after the stop signal was truncated.
     site = context.platform
     for name in platform_site.POOL_REPLICAS:
         site.replicas[name].script.append('hangs')
@@ -98,27 +98,28 @@
                                        deadline_ms=60000))
         waiting.until(
             lambda: any(site.replicas[n].runs
-                        for n in platform_site.POOL_REPLICAS), 'the run')
+                        for n in platform_site.POOL_REPLICAS),
+            'the request to run')
         site.proc.send_signal(signal.SIGTERM)
         waiting.until(lambda: wire_callers.status(site.callers) is None,
-                      'refused channels')
+                      'the entry to refuse connections')
 
 
-@then('it takes no new channel once the balancer had time to notice')
+@then('it accepts no new connection once the load balancer had time to notice')
 def step_refuses(context):
     events = {ln['event']: ln for ln in context.platform.log()}
     assert events['no_new_channels']['running'] == 1, events.keys()
 
 
-@when('an entry starts while the store is silent')
-def step_start_silent(context):
+@when('an entry starts while the store does not respond')
+def step_start_without_store(context):
     site = platform_site.new_site(context, configured=False)
     site.store.mode = 'silent'
     site.start()
 
 
-@then('it is not ready and answers {status:d}')
-def step_unknowing(context, status):
+@then('it is not ready and responds with status {status:d}')
+def step_unconfigured(context, status):
     assert wire_callers.status(context.platform.readiness) == 503
     reply = platform_site.send_request(context)
     assert reply.status == status, reply
--- a/features/steps/platform_store_steps.py
+++ b/features/steps/platform_store_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the platform feature: what the store tells, or keeps to itself."""
+"""Steps of the platform feature: changes and faults of the store."""
 
 import time
 
@@ -12,7 +12,7 @@
 from gorsefall.standins import waiting
 
 
-@when('the key of "{account}" is taken away')
+@when('the key of "{account}" is revoked')
 def step_revoke(context, account):
     assert platform_site.send_request(context).status == 200
     keys = {k: a for k, a in standin.ACCOUNTS_BY_KEY.items() if a != account}
@@ -20,18 +20,18 @@
                                                                     keys=keys))
 
 
-@then('requests with it get status {status:d} soon')
-def step_soon(context, status):
+@then('requests with that key soon get status {status:d}')
+def step_refused_soon(context, status):
     waiting.until(lambda: platform_site.send_request(context).status == status,
-                  'the new version')
+                  'the key to be refused')
     assert not platform_site.runs_of(context, context.rid)
 
 
-@when('requests with a key come for longer than the bound')
-def step_long(context):
-    # Symptom: some requests are refused while nothing is wrong. Sequence: a
-    # read that waits 1 s follows another; just before its answer the proof
-    # is 2 s old. Cause: a bound of 2 s, and a wait that knew nothing of it.
+@when('requests with a key arrive for longer than the revocation bound')
+def step_long_load(context):
+    # Guards against requests that are refused without any fault. Two reads that
+    # wait 1 s each follow one another; just before the second response the
+    # confirmation is 2 s old. With a bound of 2 s, reads must wait for less.
     context.replies = []
     end = time.monotonic() + 4
     while time.monotonic() < end:
@@ -39,30 +39,30 @@
         time.sleep(0.01)
 
 
-@then('none is refused while the store answers')
+@then('no request is refused while the store responds')
 def step_none_refused(context):
     refused = [r for r in context.replies if r.status != 200]
     assert not refused, refused[0]
 
 
-@when('the store falls silent')
-def step_silent(context):
+@when('the store stops responding')
+def step_store_silent(context):
     context.platform.store.mode = 'silent'
     context.platform.store.cut()
 
 
-@then('requests with a key get status {status:d} within the bound')
-def step_bound(context, status):
+@then('requests with a key get status {status:d} within the revocation bound')
+def step_refused_in_bound(context, status):
     waiting.until(lambda: platform_site.send_request(context).status == status,
-                  'the lapsed proof')
+                  'the confirmation to lapse')
     assert 'retry-after' in context.reply.headers
     waiting.until(
         lambda: wire_callers.status(context.platform.readiness) == 503,
-        'not ready')
+        'the entry to become not ready')
 
 
 @then('requests on an open route are still served')
-def step_open(context):
+def step_open_route(context):
     reply = wire_callers.send_request(context.platform.callers,
                                       '/o/x',
                                       platform_site.new_rid(context),
@@ -70,8 +70,8 @@
     assert reply.status == 200, reply
 
 
-@when('the store answers again')
-def step_again(context):
+@when('the store responds again')
+def step_store_returns(context):
     context.platform.store.mode = 'ok'
     context.platform.store.cut()
 
@@ -79,11 +79,11 @@
 @then('requests with a key are served again')
 def step_served_again(context):
     waiting.until(lambda: platform_site.send_request(context).status == 200,
-                  'service')
+                  'the entry to serve requests')
 
 
-@when('the store forgets its history while versions follow each other')
-def step_forgets(context):
+@when('the store drops its history while new versions are written')
+def step_drop_history(context):
     store = context.platform.store
     for version in range(2, 12):
         routes = [
@@ -95,78 +95,78 @@
         time.sleep(0.02)
 
 
-@then('the newest version is in force')
-def step_newest(context):
+@then('the newest version is active')
+def step_newest_active(context):
 
-    def served():
+    def is_served():
         reply = wire_callers.send_request(context.platform.callers, '/v11/x',
                                           platform_site.new_rid(context))
         return reply.status == 200
 
-    waiting.until(served, 'version 11')
+    waiting.until(is_served, 'version 11')
     reply = wire_callers.send_request(context.platform.callers, '/v10/x',
                                       platform_site.new_rid(context))
     assert reply.status == 404, reply
 
 
-@when('a record that cannot be decoded is written')
-def step_spoilt(context):
+@when('records that cannot be decoded are written')
+def step_malformed(context):
     store = context.platform.store
     store.put_raw('keyed.op', 'config', b'{"version": "no"')
     store.put_raw('keyed.servers', 'e9', b'{"service": 3}')
 
 
-@then('it is logged, and requests are still served')
-def step_logged(context):
+@then('they are logged, and requests are still served')
+def step_malformed_logged(context):
     waiting.until(
         lambda: {
             ln['key']
             for ln in context.platform.log()
             if ln['event'] == 'record_spoilt'
-        } == {'config', 'e9'}, 'the log lines')
+        } == {'config', 'e9'}, 'both records to be logged')
     assert platform_site.send_request(context).status == 200
 
 
-@when('a plain replica says that it is draining')
+@when('a plain replica reports that it is draining')
 def step_draining(context):
     site = context.platform
     site.store.put('keyed.servers', 'p1',
                    site.replicas['p1'].record('draining'))
 
 
-@then('it soon gets no new work')
-def step_no_work(context):
+@then('it soon receives no new requests')
+def step_unused(context):
     replica = context.platform.replicas['p1']
 
-    def quiet():
+    def is_unused():
         before = len(replica.received_requests)
         for _ in range(10):
             assert platform_site.send_request(context).status == 200
         return len(replica.received_requests) == before
 
-    waiting.until(quiet, 'no new work')
+    waiting.until(is_unused, 'no new requests')
 
 
-@when('the store is away while the records of all plain replicas lapse')
-def step_lapse(context):
+@when('the store is unavailable while all plain replicas\' records lapse')
+def step_records_lapse(context):
     site = context.platform
     site.store.mode = 'busy'
     site.store.cut()
     waiting.until(
         lambda: sum(ln['event'] == 'store_lost' for ln in site.log()) == 2,
-        'the store lost on both topics')
+        'the entry to lose the store on both topics')
     for name in platform_site.PLAIN_REPLICAS:
         site.store.put('keyed.servers', name, None)
     site.store.mode = 'ok'
 
 
-@then('requests are served after its return')
-def step_after_return(context):
+@then('requests are served when the store is available again')
+def step_served_after_lapse(context):
     site = context.platform
     waiting.until(
         lambda: sum(ln['event'] == 'replica_doubtful'
                     for ln in site.log()) == len(platform_site.PLAIN_REPLICAS),
-        'the lapsed records')
+        'the records to lapse')
     assert platform_site.send_request(context).status == 200, context.reply
     for name in platform_site.PLAIN_REPLICAS:
         site.store.put('keyed.servers', name, site.replicas[name].record())
--- a/features/steps/sharing_steps.py
+++ b/features/steps/sharing_steps.py
@@ -15,13 +15,13 @@
 from gorsefall.standins import waiting
 
 REVOKE_S = 4.0
-"""The bound on revoked keys at these entries, s."""
+"""Bound on the use of a revoked key at these entries, s."""
 
-ROUNDS_S = 6.0
-"""Time for which requests come, s: longer than a proof holds."""
+LOAD_S = 6.0
+"""Time for which requests are sent, s: longer than a confirmation is valid."""
 
-CALLS_PER_S = 5.0
-"""Most calls a second of an entry that reads for others, at these bounds."""
+MAX_READER_CALLS_PER_S = 5.0
+"""Most store calls per second of a reader with ``REVOKE_S``."""
 
 
 @given('five entries on the platform that share reads of the store')
@@ -33,106 +33,108 @@
     first.store.put('keyed.op', 'config', standin.config(1))
     for site in context.sites:
         site.start()
-    waiting.until(lambda: len(_reading(context)) == readers.MIN_READERS,
-                  'three entries that read')
+    waiting.until(lambda: len(_reader_sites(context)) == readers.MIN_READERS,
+                  'three readers')
     for site in context.sites:
         waiting.until(lambda s=site: wire_callers.status(s.readiness) == 200,
-                      'ready')
+                      'the entry to be ready')
 
 
-def _reads(site):
-    """Whether the site's entry says that it reads by itself."""
-    said = [ln for ln in site.log() if ln['event'] == 'reads_store']
-    return bool(said) and said[-1]['leads']
+def _is_reader(site):
+    """Returns True if the site's entry logged that it is a reader."""
+    records = [ln for ln in site.log() if ln['event'] == 'reads_store']
+    return bool(records) and records[-1]['leads']
 
 
-def _reading(context):
-    return [site for site in context.sites if _reads(site)]
+def _reader_sites(context):
+    return [site for site in context.sites if _is_reader(site)]
 
 
-def _ask(context, site, **kw):
+def _send_request(context, site, **kw):
     return wire_callers.send_request(site.callers, '/i/x',
                                      platform_site.new_rid(context), **kw)
 
 
-@then('the store gets the calls of three entries')
-def step_few_calls(context):
+@then('the store gets no more calls than three entries make')
+def step_call_count(context):
     calls = context.platform.store.calls
     before = calls.total()
-    time.sleep(ROUNDS_S)
-    made = calls.total() - before
-    assert made <= readers.MIN_READERS * CALLS_PER_S * ROUNDS_S, made
-    assert len(_reading(context)) == readers.MIN_READERS
+    time.sleep(LOAD_S)
+    new_calls = calls.total() - before
+    assert new_calls <= (readers.MIN_READERS * MAX_READER_CALLS_PER_S *
+                         LOAD_S), new_calls
+    assert len(_reader_sites(context)) == readers.MIN_READERS
 
 
 @when('the entries that read are {how}')
-def step_fail(context, how):
-    failing = _reading(context)
-    for site in failing:
+def step_stop_readers(context, how):
+    stopped = _reader_sites(context)
+    for site in stopped:
         site.proc.send_signal(signal.SIGKILL if how ==
                               'killed' else signal.SIGSTOP)
-    context.sound = [s for s in context.sites if s not in failing]
+    context.healthy_sites = [s for s in context.sites if s not in stopped]
 
 
-@then('the others serve requests with a key all along')
-def step_served(context):
-    end = time.monotonic() + ROUNDS_S
+@then('the other entries keep serving requests with a key')
+def step_keep_serving(context):
+    end = time.monotonic() + LOAD_S
     while time.monotonic() < end:
-        for site in context.sound:
-            reply = _ask(context, site)
+        for site in context.healthy_sites:
+            reply = _send_request(context, site)
             assert reply.status == 200, reply
         time.sleep(0.05)
 
 
-def _take_away(context, account='gate'):
+def _revoke_key(context, account='gate'):
     keys = {k: a for k, a in standin.ACCOUNTS_BY_KEY.items() if a != account}
     context.platform.store.put('keyed.op', 'config', standin.config(2,
                                                                     keys=keys))
 
 
-@then('a key that is taken away soon stops at the others')
-def step_stops(context):
-    _take_away(context)
-    for site in context.sound:
-        waiting.until(lambda s=site: _ask(context, s).status == 401,
-                      'the key denied')
+@then('the other entries soon refuse a revoked key')
+def step_revoked(context):
+    _revoke_key(context)
+    for site in context.healthy_sites:
+        waiting.until(lambda s=site: _send_request(context, s).status == 401,
+                      'the key to be refused')
 
 
-@when('an entry is paused, a key is taken away, and the entry goes on')
-def step_pause(context):
-    context.site_paused = next(s for s in context.sites if not _reads(s))
-    assert _ask(context, context.site_paused).status == 200
-    context.site_paused.proc.send_signal(signal.SIGSTOP)
-    _take_away(context)
+@when('an entry is paused, a key is revoked, and the entry resumes')
+def step_pause_entry(context):
+    context.paused_site = next(s for s in context.sites if not _is_reader(s))
+    assert _send_request(context, context.paused_site).status == 200
+    context.paused_site.proc.send_signal(signal.SIGSTOP)
+    _revoke_key(context)
     time.sleep(REVOKE_S)
-    context.site_paused.proc.send_signal(signal.SIGCONT)
+    context.paused_site.proc.send_signal(signal.SIGCONT)
 
 
-@then('no request with that key is run from then on')
-def step_none_run(context):
+@then('no request with that key runs from then on')
+def step_key_refused(context):
     end = time.monotonic() + 1.0
     while time.monotonic() < end:
-        status = _ask(context, context.site_paused).status
+        status = _send_request(context, context.paused_site).status
         assert status in (401, 503), status
 
 
-@when('the store falls silent for the five')
-def step_silent(context):
+@when('the store stops responding to all five entries')
+def step_store_silent(context):
     context.platform.store.mode = 'silent'
     context.platform.store.cut()
 
 
-@then('requests with a key are refused at all five within the bound')
-def step_refused(context):
+@then('requests with a key are refused at all five within the revocation bound')
+def step_all_refuse(context):
     time.sleep(REVOKE_S)
     for site in context.sites:
-        reply = _ask(context, site)
+        reply = _send_request(context, site)
         assert reply.status == 503, reply
 
 
-@then('they are served at all five when it answers again')
-def step_again(context):
+@then('they are served at all five when the store responds again')
+def step_store_returns(context):
     context.platform.store.mode = 'ok'
     context.platform.store.cut()
     for site in context.sites:
-        waiting.until(lambda s=site: _ask(context, s).status == 200, 'served')
+        waiting.until(lambda s=site: _send_request(context, s).status == 200,
+                      'requests to be served')
