--- a/features/at_most_once.feature
+++ b/features/at_most_once.feature
@@ -1,13 +1,13 @@
 Feature: Plain services: a not-repeatable call runs at most once
-  Symptom guarded against: a booking charge or an issued declaration runs
-  twice, or a caller is told "not run" when it ran. Sequence: the caller
-  retries with the same idempotency key, through another entry; the log
-  service loses its reply after the write; the service loses its reply
-  after running. Cause it would have: retrying a call that reached the
-  back end, or deciding ownership of a key on one entry alone.
+  Guards against a booking charge or declaration that runs twice, or that is
+  reported as not run although it ran. The caller retries with the same
+  idempotency key at another entry; the log service loses its reply after the
+  write; the service loses its reply after the run. An entry that retries a call
+  that reached the back end, or that decides alone who owns a key, would cause
+  this.
 
   Background:
-    Given the site is up with the catalogue in force
+    Given the site is up with an active catalogue
 
   Scenario Outline: Retries with one key run the charge once
     Given the fault <fault> on "<standin>"
--- a/features/caller_api.feature
+++ b/features/caller_api.feature
@@ -1,22 +1,22 @@
 Feature: Caller API (OpenAI-compatible and plain services)
-  Standard clients work unchanged; bad input gets a clear coded error and
-  loses nothing.
+  Standard clients work unchanged; invalid input gets an error with a code and
+  starts no run.
 
   Background:
-    Given the site is up with the catalogue in force
+    Given the site is up with an active catalogue
 
-  Scenario: An unmodified OpenAI client gets a whole and a streamed answer
+  Scenario: An unmodified OpenAI client gets a plain and a streamed response
     When an OpenAI client asks entry "entry-a" as "traveller-app" class "seat"
-    Then the whole answer and the streamed answer are the same complete text
+    Then the plain and the streamed response contain the same complete text
 
-  Scenario: A plain-service call is answered by a booking replica
+  Scenario: A booking replica responds to a plain-service call
     When "hotel-desk" calls "booking" op "seat_query" in class "seat-query"
     Then the reply has status 200 and came from a booking replica
 
   Scenario Outline: Bad input is refused with a code and nothing runs
     When a caller sends <case> to the chat route
     Then the reply has status <status> and error code "<code>"
-    And entry "entry-a" still answers health checks
+    And entry "entry-a" still responds to health checks
 
     Examples:
       | case             | status | code             |
@@ -30,4 +30,4 @@
 
   Scenario: A JSON body sent under a form's content type is read as JSON
     When a caller sends a chat request as a form with "&" and "=" in its text
-    Then the reply has status 200 and a whole text
+    Then the reply has status 200 and a complete text
--- a/features/catalogue.feature
+++ b/features/catalogue.feature
@@ -1,14 +1,14 @@
-Feature: Catalogue: an accepted change is in force everywhere and never reverts
-  Symptom guarded against: an entry runs an old catalogue, a change is
-  silently overwritten, or a version goes back. Sequence: two operators
-  publish at once; the log service is down; old records expire and an
-  entry restarts. Cause it would have: last-writer-wins publishing, or a
-  reader that cannot start past expired records.
+Feature: Catalogue: an accepted change is active everywhere and never reverts
+  Guards against an entry with an old catalogue, a change that is overwritten
+  silently, or a version that decreases. Two operators publish at once; the log
+  service is down; old records expire and an entry restarts. Publishing where
+  the last writer wins, or a reader that cannot start after expired records,
+  would cause this.
 
   Background:
-    Given the site is up with the catalogue in force
+    Given the site is up with an active catalogue
 
-  Scenario: Two operators publish on the same base: one wins, one is told
+  Scenario: Two operators publish on the same base: one is accepted, one is refused
     When two operators publish changes based on the current version
     Then exactly one is accepted and the other gets "stale_version"
     And every entry runs the accepted change and no other
@@ -17,7 +17,7 @@
     Given the catalogue is at a new version on every entry
     When the log service has the fault <fault> for a while
     Then every entry still runs that version
-    And entry "entry-a" still answers health checks
+    And entry "entry-a" still responds to health checks
 
     Examples:
       | fault         |
@@ -32,9 +32,9 @@
 
   Scenario: Two operators change different items at once: both are accepted
     When two operators change different classes based on the current version
-    Then both changes are accepted and in force on every entry
+    Then both changes are accepted and active on every entry
 
-  Scenario: A file made from an older version does not undo what came since
+  Scenario: A file made from an older version does not undo later changes
     Given operator "ann" has saved the catalogue to a file
     And operator "bo" has changed a class that ann's file also changes
     When ann publishes her file from the command line
--- a/features/failures.feature
+++ b/features/failures.feature
@@ -1,18 +1,18 @@
-Feature: Machines that die, freeze or fall silent
-  Symptom guarded against: a caller gets a cut, repeated or foreign answer,
-  or waits for ever. Sequence: an engine or service process is killed or
-  frozen mid-answer, or its connection goes silent for good while new ones
-  work. Cause it would have: waiting for an error that never comes, or
-  starting an answer over instead of going on after what was delivered.
+Feature: Processes that crash, freeze or stop responding
+  Guards against a caller that gets a truncated or repeated response or that of
+  another request, or that waits forever. An engine or service process is killed
+  or frozen in the middle of a response, or its connection stays silent while
+  new ones work. Waiting for an error that never arrives, or restarting a
+  response instead of resuming it after the delivered tokens, would cause this.
 
   Background:
-    Given the site is up with the catalogue in force
+    Given the site is up with an active catalogue
 
-  Scenario Outline: Streams survive what happens to the engines under them
-    Given 8 long streamed answers are in flight on entry "entry-a"
+  Scenario Outline: Streams survive failures of their engines
+    Given 8 long streamed responses are in flight on entry "entry-a"
     When <what> happens to <engines>
-    Then every answer in flight ends whole
-    And everything is whole again
+    Then every response in flight completes
+    And the site is restored
 
     Examples:
       | what         | engines           |
@@ -24,11 +24,11 @@
   Scenario: A killed service replica loses no repeatable call
     When a kill happens to booking-1
     And "hotel-desk" makes 12 seat queries
-    Then every seat query got its own whole answer
-    And everything is whole again
+    Then every seat query got its own complete response
+    And the site is restored
 
-  Scenario: A caller that leaves stops the engine's work
+  Scenario: A caller that disconnects stops the engine's run
     Given engines step slowly
-    When 8 callers leave entry-a after their first token
+    When 8 callers disconnect from entry-a after their first token
     Then no engine has requests running
     And engines step normally
--- a/features/settings.feature
+++ b/features/settings.feature
@@ -1,8 +1,8 @@
 @nosite
 Feature: Settings: a bad file stops the process with an error naming the key
-  Symptom guarded against: an entry that starts on a wrong setting and
-  misroutes quietly. Sequence: an operator mistypes a key, a type or an
-  address. Cause it would have: settings read without checks.
+  Guards against an entry that starts with a wrong setting and misroutes without
+  an error. An operator mistypes a key, a type or an address. Settings that are
+  read without validation would cause this.
 
   Scenario Outline: A bad settings file is refused before start
     Given an entry settings file with <change>
--- a/features/steps/caller_steps.py
+++ b/features/steps/caller_steps.py
@@ -42,22 +42,22 @@
             'X-Class': klass
         })
     msgs = [{'role': 'user', 'content': 'seats from terminal 2 to city?'}]
-    whole = client.chat.completions.create(model='default', messages=msgs)
-    context.whole = whole.choices[0].message.content
-    context.whole_reason = whole.choices[0].finish_reason
-    context.parts = [
+    completion = client.chat.completions.create(model='default', messages=msgs)
+    context.plain_text = completion.choices[0].message.content
+    context.finish_reason = completion.choices[0].finish_reason
+    context.stream_parts = [
         c.choices[0].delta.content or ''
         for c in client.chat.completions.create(
             model='default', messages=msgs, stream=True)
     ]
 
 
-@then('the whole answer and the streamed answer are the same complete text')
+@then('the plain and the streamed response contain the same complete text')
 def step_same_text(context):
-    streamed = ''.join(context.parts)
-    assert context.whole_reason == 'stop', context.whole_reason
-    assert streamed == context.whole, (streamed, context.whole)
-    words = context.whole.split()
+    streamed = ''.join(context.stream_parts)
+    assert context.finish_reason == 'stop', context.finish_reason
+    assert streamed == context.plain_text, (streamed, context.plain_text)
+    words = context.plain_text.split()
     assert words == [f'w{i}' for i in range(len(words))], words
 
 
@@ -80,7 +80,7 @@
 
 
 @when('a caller sends {case} to the chat route')
-def step_bad(context, case):
+def step_bad_input(context, case):
     path, raw, headers = CASES[case]
     hdrs = {'X-Customer': 'traveller-app', 'X-Class': 'seat'} | headers
     context.reply = common.http('POST',
@@ -91,7 +91,7 @@
 
 
 @then('the reply has status {status:d} and error code "{code}"')
-def step_code(context, status, code):
+def step_error_code(context, status, code):
     got, obj, _ = context.reply
     assert got == status, (got, obj)
     assert obj['error']['code'] == code, obj
--- a/features/steps/catalogue_steps.py
+++ b/features/steps/catalogue_steps.py
@@ -24,12 +24,12 @@
     return doc
 
 
-def _rates(context):
-    out = []
+def _versions(context):
+    versions = []
     for n in ('entry-a', 'entry-b'):
-        st = common.http('GET', common.entry_addr(context, n), '/status')[1]
-        out.append(st['catalogue']['version'])
-    return out
+        status = common.http('GET', common.entry_addr(context, n), '/status')[1]
+        versions.append(status['catalogue']['version'])
+    return versions
 
 
 @when('two operators publish changes based on the current version')
@@ -48,21 +48,21 @@
         except errors.StaleVersionError as exc:
             context.outcomes[who] = exc.code
 
-    ts = [
+    threads = [
         threading.Thread(target=run, args=(w, r))
         for w, r in (('ann', 11.0), ('bo', 22.0))
     ]
-    for t in ts:
-        t.start()
-    for t in ts:
-        t.join()
+    for thread in threads:
+        thread.start()
+    for thread in threads:
+        thread.join()
     context.base = base
 
 
 @then('exactly one is accepted and the other gets "{code}"')
-def step_one_wins(context, code):
-    got = sorted(map(str, context.outcomes.values()))
-    assert got == sorted([str(context.base + 1), code]), context.outcomes
+def step_one_accepted(context, code):
+    actual = sorted(map(str, context.outcomes.values()))
+    assert actual == sorted([str(context.base + 1), code]), context.outcomes
     context.winner = [w for w, v in context.outcomes.items() if v != code][0]
 
 
@@ -70,9 +70,9 @@
 def step_all_run(context):
     state = publish.current(context.log_addr)
     common.wait_version(context, context.base + 1)
-    want = {'ann': 11.0, 'bo': 22.0}[context.winner]
-    assert state.doc.classes[0].rate_per_s == want
-    assert _rates(context) == [state.version] * 2, _rates(context)
+    expected = {'ann': 11.0, 'bo': 22.0}[context.winner]
+    assert state.doc.classes[0].rate_per_s == expected
+    assert _versions(context) == [state.version] * 2, _versions(context)
 
 
 @given('the catalogue is at a new version on every entry')
@@ -89,16 +89,16 @@
     common.set_faults(context, 'log',
                       **{key: True if val == 'true' else float(val)})
     time.sleep(1.0)
-    context.during = _rates(context)
+    context.versions_during = _versions(context)
     common.set_faults(context, 'log', outage=False, delay_ms=0.0)
 
 
 @then('every entry still runs that version')
 def step_same_version(context):
     common.wait_version(context, context.version)
-    assert _rates(context) == [context.version] * 2, _rates(context)
-    for v in getattr(context, 'during', []):
-        assert v == context.version, context.during
+    assert _versions(context) == [context.version] * 2, _versions(context)
+    for v in getattr(context, 'versions_during', []):
+        assert v == context.version, context.versions_during
 
 
 @when('the log service keeps only the newest {n:d} records of the catalogue')
@@ -106,7 +106,7 @@
     status, obj, _ = common.http('POST', common.standin_addr(context, 'log'),
                                  '/trim/catalogue', {'keep': n})
     assert status == 200 and obj['start'] > 0, obj
-    # A reader from scratch must still find the version.
+    # A reader without state must still find the version.
     assert publish.current(context.log_addr).version == context.version
 
 
@@ -127,7 +127,7 @@
     return obj['start'] == obj['end'] > 0
 
 
-@when('the catalogue stream has expired wholly')
+@when('all records of the catalogue stream have expired')
 def step_expire(context):
     waiting.until(lambda: _expired(context), 'every change record expired')
 
@@ -135,17 +135,17 @@
 @then('every entry runs version {version:d}')
 def step_runs_version(context, version):
     common.wait_version(context, version)
-    assert _rates(context) == [version] * 2, _rates(context)
+    assert _versions(context) == [version] * 2, _versions(context)
     context.version = version
 
 
 @when('an operator publishes one more change')
 def step_one_more(context):
-    got = publish.publish(context.log_addr, _doc(context, 33.0), 'op')
-    assert got == context.version + 1, got
+    actual = publish.publish(context.log_addr, _doc(context, 33.0), 'op')
+    assert actual == context.version + 1, actual
 
 
-@then('the change is not lost when that has expired too')
+@then('the change is not lost when its record has expired too')
 def step_not_lost(context):
     waiting.until(lambda: _expired(context), 'the change record expired')
     state = publish.current(context.log_addr)
@@ -161,7 +161,7 @@
 
 
 @when('two operators change different classes based on the current version')
-def step_different(context):
+def step_different_classes(context):
     context.base = publish.current(context.log_addr).version
     docs = []
     for i in (1, 2):
@@ -173,15 +173,15 @@
         for i, doc in enumerate(docs))
 
 
-@then('both changes are accepted and in force on every entry')
-def step_both_in_force(context):
+@then('both changes are accepted and active on every entry')
+def step_both_active(context):
     assert context.versions == [context.base + 1, context.base + 2]
     doc = publish.current(context.log_addr).doc
     assert (_rate_of(doc, 1), _rate_of(doc, 2)) == (61.0, 62.0)
     common.wait_version(context, context.base + 2)
 
 
-def _cli(context, *args):
+def _run_command(context, *args):
     context.run = subprocess.run([
         sys.executable, '-m', 'gorsefall', 'catalogue', *args, '--log',
         '{}:{}'.format(*context.log_addr)
@@ -196,11 +196,11 @@
 @given('operator "ann" has saved the catalogue to a file')
 def step_save(context):
     context.file = pathlib.Path(context.tmp) / 'ann.toml'
-    context.file.write_text(_cli(context, 'show').stdout)
+    context.file.write_text(_run_command(context, 'show').stdout)
 
 
 @given('operator "bo" has changed a class that ann\'s file also changes')
-def step_bo(context):
+def step_bo_changes(context):
     publish.publish(context.log_addr, _doc(context, 77.0), 'bo')
     doc = catalogue.load(context.file)
     doc.classes[0].rate_per_s = 55.0
@@ -208,15 +208,15 @@
 
 
 @when('ann publishes her file from the command line')
-def step_ann(context):
+def step_ann_publishes(context):
     context.before = publish.current(context.log_addr)
-    _cli(context, 'publish', str(context.file))
+    _run_command(context, 'publish', str(context.file))
 
 
 @when('a file without a version is published from the command line')
 def step_no_version(context):
     context.before = publish.current(context.log_addr)
-    _cli(context, 'publish', str(context.site / 'catalogue.toml'))
+    _run_command(context, 'publish', str(context.site / 'catalogue.toml'))
 
 
 @then('the command fails with "{code}" and {what}')
@@ -230,19 +230,20 @@
 
 
 @given('the log service loses its next {n:d} replies')
-def step_lose(context, n):
-    # The entries' reads do not count: only appends lose their replies.
+def step_lose_replies(context, n):
+    # Only appends lose their replies; reads of the entries don't count.
     common.set_faults(context, 'log', lose_reply=n)
 
 
 @when('one operator publishes a change')
 def step_publish_one(context):
     context.base = publish.current(context.log_addr).version
-    context.got = publish.publish(context.log_addr, _doc(context, 44.0), 'op')
+    context.published = publish.publish(context.log_addr, _doc(context, 44.0),
+                                        'op')
 
 
 @then('it is accepted as exactly the next version')
 def step_next_version(context):
-    assert context.got == context.base + 1
-    common.wait_version(context, context.got)
+    assert context.published == context.base + 1
+    common.wait_version(context, context.published)
     common.set_faults(context, 'log', lose_reply=0)
--- a/features/steps/common.py
+++ b/features/steps/common.py
@@ -146,17 +146,17 @@
         set_faults(context, name, **FAULTS_OFF)
 
 
-@then('everything is whole again')
+@then('the site is restored')
 def step_restore_site(context):
     restore_site(context)
 
 
-@given('the site is up with the catalogue in force')
+@given('the site is up with an active catalogue')
 def step_site_up(context):
     assert context.procs is not None
     wait_version(context, 1)
 
 
-@then('entry "{name}" still answers health checks')
+@then('entry "{name}" still responds to health checks')
 def step_health(context, name):
     assert http('GET', entry_addr(context, name), '/healthz')[0] == 200
--- a/features/steps/contract_steps.py
+++ b/features/steps/contract_steps.py
@@ -11,7 +11,7 @@
 
 from gorsefall.standins import waiting
 
-BATCH = 16
+BATCH_SIZE = 16
 
 
 def _append(context, stream, records):
@@ -55,7 +55,7 @@
         context.status, context.obj, _ = _append(context, stream, [{'x': 1}])
     except OSError:
         context.status, context.obj = None, None
-    context.took_s = time.monotonic() - t0
+    context.duration_s = time.monotonic() - t0
 
 
 @then('the append {got} and the stream holds {n:d} records')
@@ -66,7 +66,7 @@
     elif got == 'gets no reply':
         assert context.status is None, context.obj
     else:
-        assert context.status == 200 and context.took_s >= 0.7
+        assert context.status == 200 and context.duration_s >= 0.7
     common.set_faults(context, 'log', **common.FAULTS_OFF, max_appends_per_s=0)
     _, obj, _ = _read(context, context.stream)
     assert len(obj['records']) == n, obj
@@ -78,8 +78,8 @@
                 {'keep': n})
 
 
-@then('a read of "{stream}" from 0 is answered 410 with start {start:d} and '
-      'end {end:d}')
+@then('a read of "{stream}" from 0 gets status 410 with start {start:d} '
+      'and end {end:d}')
 def step_410(context, stream, start, end):
     status, obj, _ = _read(context, stream)
     assert (status, obj['start'], obj['end']) == (410, start, end), obj
@@ -112,10 +112,11 @@
     return common.http('GET', common.standin_addr(context, name), '/stats')[1]
 
 
-@when('engine "{name}" generates a prompt whole and again from token {n:d}')
+@when('engine "{name}" generates a complete response and again from token '
+      '{n:d}')
 def step_resume(context, name, n):
     context.resume_at = n
-    context.whole = _events(context, name, 'whole', prompt='the answer')
+    context.complete = _events(context, name, 'whole', prompt='the answer')
     context.rest = _events(context,
                            name,
                            'rest',
@@ -123,35 +124,35 @@
                            resume_from=n)
 
 
-@then('the second answer is the first one\'s tokens from {n:d} on')
+@then('the second response is the first one\'s tokens from {n:d} on')
 def step_rest(context, n):
-    assert context.rest[-1]['done'] and context.whole[-1]['done']
-    assert context.rest[:-1] == context.whole[n:-1], context.rest[:3]
-    assert context.rest[-1] == context.whole[-1]
+    assert context.rest[-1]['done'] and context.complete[-1]['done']
+    assert context.rest[:-1] == context.complete[n:-1], context.rest[:3]
+    assert context.rest[-1] == context.complete[-1]
 
 
 @given('the batch of "{name}" is full of requests of priority 4')
-def step_full(context, name):
+def step_full_batch(context, name):
     context.name = name
     common.set_faults(context, name, slow=1000)
     context.conns = [
         _generate(context, name, f'low-{i}', priority=4)[0]
-        for i in range(BATCH + 2)
+        for i in range(BATCH_SIZE + 2)
     ]
-    waiting.until(lambda: _stats(context, name)['running'] == BATCH,
+    waiting.until(lambda: _stats(context, name)['running'] == BATCH_SIZE,
                   'a full batch')
 
 
 @when('a request of priority 1 and one of priority 1 that must not preempt '
       'arrive')
-def step_urgent(context):
+def step_urgent_arrive(context):
     before = _stats(context, context.name).get('preempted_4', 0)
     context.conns.append(_generate(context, context.name, 'top', priority=1)[0])
     context.conns.append(
         _generate(context, context.name, 'meek', priority=1, preempt=False)[0])
     waiting.until(
         lambda: _stats(context, context.name).get('preempted_4', 0) > before,
-        'the urgent one to preempt')
+        'the urgent request to preempt')
     context.preempted = _stats(context, context.name)['preempted_4'] - before
 
 
@@ -159,21 +160,22 @@
 def step_first_runs(context):
     stats = _stats(context, context.name)
     assert context.preempted == 1, context.preempted
-    assert stats['running'] == BATCH and stats['waiting'] == 4, stats
+    assert stats['running'] == BATCH_SIZE and stats['waiting'] == 4, stats
 
 
 @then('a waiting request raised to priority 1 goes before the others')
-def step_raised(context):
+def step_raise_priority(context):
     addr = common.standin_addr(context, context.name)
     _, obj, _ = common.http('POST', addr, '/priority', {
-        'id': f'low-{BATCH + 1}',
+        'id': f'low-{BATCH_SIZE + 1}',
         'priority': 1
     })
     assert obj == {'found': True}, obj
     for rid in ('low-1', 'low-2'):
         common.http('POST', addr, '/cancel', {'id': rid})
-    for who in ('meek', f'low-{BATCH + 1}'):
-        waiting.until(lambda w=who: w in _running(context), f'{who} to run')
+    for expected in ('meek', f'low-{BATCH_SIZE + 1}'):
+        waiting.until(lambda r=expected: r in _running(context),
+                      f'{expected} to run')
     for conn in context.conns:
         conn.close()
     common.set_faults(context, context.name, slow=1)
@@ -183,7 +185,7 @@
     return _stats(context, context.name)['running_ids']
 
 
-def _cold(context, name, words, rid):
+def _prefilled_tokens(context, name, words, rid):
     before = _stats(context, name).get('prefill_tokens', 0)
     _events(context, name, rid, prompt=words, max_tokens=1)
     return _stats(context, name)['prefill_tokens'] - before
@@ -193,21 +195,22 @@
     return ' '.join(f'{tag}{i}' for i in range(n))
 
 
-@when('"{name}" reads a prompt of {n:d} words twice')
-def step_twice(context, name, n):
+@when('"{name}" prefills a prompt of {n:d} words twice')
+def step_prefill_twice(context, name, n):
     context.words = _prompt('b', n)
-    context.cold = [
-        _cold(context, name, context.words, f'cold-{i}') for i in (0, 1)
+    context.prefilled = [
+        _prefilled_tokens(context, name, context.words, f'cold-{i}')
+        for i in (0, 1)
     ]
-    assert context.cold[0] == n, context.cold
+    assert context.prefilled[0] == n, context.prefilled
 
 
-@then('the second time it read fewer than {n:d} of them')
-def step_second(context, n):
-    assert context.cold[1] < n, context.cold
+@then('the second time it prefilled fewer than {n:d} of them')
+def step_cached(context, n):
+    assert context.prefilled[1] < n, context.prefilled
 
 
-@when('its blocks are exported to "{other}"')
+@when('its KV blocks are exported to "{other}"')
 def step_export(context, other):
     conn, _ = _generate(context,
                         'engine-3',
@@ -221,18 +224,18 @@
     common.http('POST', common.standin_addr(context, other), '/kv/import', obj)
 
 
-@then('"{name}" reads fewer than {n:d} of them')
+@then('"{name}" prefills fewer than {n:d} of them')
 def step_imported(context, name, n):
-    assert _cold(context, name, context.words, 'imported') < n
+    assert _prefilled_tokens(context, name, context.words, 'imported') < n
 
 
 @given('"{name}" drops half of its cache events and lags by 1 s')
-def step_drops(context, name):
+def step_lossy_events(context, name):
     common.set_faults(context, name, drop_events=0.5, lag_s=1.0)
 
 
-@when('"{name}" reads a prompt of {n:d} words')
-def step_reads(context, name, n):
+@when('"{name}" prefills a prompt of {n:d} words')
+def step_prefill(context, name, n):
     context.name = name
     addr = common.standin_addr(context, name)
     context.since = max(
@@ -246,7 +249,7 @@
     return common.http('GET', addr, f'/events?since={context.since}')[1]
 
 
-@then('its events come no sooner than the lag, and numbers are missing')
+@then('its events arrive no sooner than the lag, with gaps in their numbers')
 def step_events(context):
     waiting.until(lambda: _new_events(context), 'cache events')
     assert time.monotonic() - context.t0 >= 1.0
@@ -256,13 +259,13 @@
     common.set_faults(context, context.name, drop_events=0.0, lag_s=0.0)
 
 
-@given('"{name}" {does} old fencing numbers')
-def step_fences(context, name, does):
+@given('"{name}" {does} old fencing tokens')
+def step_check_fences(context, name, does):
     context.name = name
     common.set_faults(context, name, check_fence=does == 'refuses')
 
 
-@when('it gets orders with fences 5, 7 and 6')
+@when('it gets orders with fencing tokens 5, 7 and 6')
 def step_orders(context):
     addr = common.standin_addr(context, context.name)
     context.replies = [
@@ -274,7 +277,7 @@
     ]
 
 
-@then('the last order is answered {status:d}')
+@then('the last order gets status {status:d}')
 def step_last_order(context, status):
     assert context.replies[-1][0] == status, context.replies[-1]
 
@@ -283,8 +286,8 @@
 def step_lag(context, name, lag):
     context.name, context.lag = name, lag
     common.set_faults(context, name, lag_s=lag)
-    # What ran before this scenario must be out of the report's window, or
-    # its tail can show the expected number too early.
+    # Runs of earlier scenarios must be out of the report's window, or they can
+    # show the expected number too early.
     time.sleep(lag + 0.2)
     _, report, _ = common.http('GET', common.standin_addr(context, name),
                                '/load')
@@ -302,10 +305,10 @@
 def step_load(context):
     addr = common.standin_addr(context, context.name)
 
-    def shown():
+    def is_shown():
         return common.http('GET', addr, '/load')[1]['running'] == context.n
 
-    waiting.until(shown, 'the load report')
+    waiting.until(is_shown, 'the load report')
     assert time.monotonic() - context.t0 >= context.lag
     for conn in context.conns:
         conn.close()
@@ -320,7 +323,7 @@
     ]
 
 
-@then('{n:d} reads succeed and the others are told when to come back')
+@then('{n:d} reads succeed and the others get a retry time')
 def step_limited(context, n):
     codes = [r[0] for r in context.replies]
     assert codes.count(200) == n and set(codes) == {200, 429}, codes
--- a/features/steps/engine_steps.py
+++ b/features/steps/engine_steps.py
@@ -10,7 +10,7 @@
 ENGINES = [f'engine-{i}' for i in range(1, 6)]
 
 
-def _value(text):
+def _parse_switch(text):
     return {
         'true': True,
         'false': False
@@ -21,11 +21,11 @@
 def step_fault(context, names, switch):
     key, _, val = switch.partition('=')
     for name in names.split(','):
-        common.set_faults(context, name, **{key: _value(val)})
+        common.set_faults(context, name, **{key: _parse_switch(val)})
 
 
-@then('the engines are healed')
-def step_heal(context):
+@then('the faults of the engines are cleared')
+def step_clear_faults(context):
     for name in ENGINES:
         common.set_faults(context,
                           name,
@@ -34,7 +34,7 @@
                           outage=False)
 
 
-@when('"{customer}" asks class "{klass}" for a streamed answer')
+@when('"{customer}" asks class "{klass}" for a streamed response')
 def step_stream(context, customer, klass):
     status, text, _ = common.chat(context,
                                   customer,
@@ -50,13 +50,13 @@
     context.done = text.rstrip().endswith('data: [DONE]')
 
 
-@when('"{customer}" asks class "{klass}" for a whole answer')
-def step_whole(context, customer, klass):
+@when('"{customer}" asks class "{klass}" for a plain response')
+def step_plain(context, customer, klass):
     context.reply = common.chat(context, customer, klass)
 
 
-@then('the streamed answer is whole, in order, with no token twice')
-def step_whole_answer(context):
+@then('the streamed response is complete, in order and repeats no token')
+def step_complete(context):
     assert context.done, context.events[-3:]
     assert not any('error' in e for e in context.events), context.events[-1]
     words = ''.join(e['choices'][0]['delta'].get('content', '')
@@ -68,7 +68,7 @@
     assert len(ids) == 1, ids
 
 
-@then('the reply says when to come back')
+@then('the reply has a retry time')
 def step_retry_after(context):
     _, _, headers = context.reply
     assert int(headers['Retry-After']) >= 1, dict(headers)
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -1,4 +1,4 @@
-"""Steps that kill, freeze and silence processes."""
+"""Steps that kill, freeze or mute processes."""
 
 import signal
 
@@ -21,7 +21,7 @@
 
 
 def _mute(context, name):
-    # Every stream open there now goes silent; new ones work.
+    # Silences all streams that are open now; new streams work.
     stats = common.http('GET', common.standin_addr(context, name), '/stats')[1]
     common.set_faults(context, name, mute=stats['running'] + stats['waiting'])
 
@@ -30,7 +30,7 @@
     common.set_faults(context, name, crash_after=2)
 
 
-WHAT = {
+FAILURES = {
     'a kill': _kill,
     'a freeze': _freeze,
     'silent links': _mute,
@@ -39,22 +39,22 @@
 
 
 @when('{what} happens to {names}')
-def step_happens(context, what, names):
+def step_fail(context, what, names):
     for name in names.split(','):
-        WHAT[what](context, name)
+        FAILURES[what](context, name)
 
 
 @then('no engine has requests running')
 def step_no_running(context):
 
-    def idle():
+    def is_idle():
         stats = [
             common.http('GET', common.standin_addr(context, n), '/stats')[1]
             for n in own_steps.ENGINES
         ]
         return all(s['running'] + s['waiting'] == 0 for s in stats)
 
-    waiting.until(idle, 'the engines to stop')
+    waiting.until(is_idle, 'the engines to stop')
 
 
 @step('the {who} has the fault {switch}')
@@ -64,6 +64,6 @@
     common.set_faults(context, name, **{key: common.parse_switch(val)})
 
 
-@then('the log service is whole again')
-def step_log_whole(context):
+@then('the faults of the log service are cleared')
+def step_clear_log_faults(context):
     common.set_faults(context, 'log', **common.FAULTS_OFF, max_appends_per_s=0)
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -12,7 +12,7 @@
 from gorsefall.standins import waiting
 
 
-def _entries(context):
+def _entry_statuses(context):
     return [
         common.http('GET', common.entry_addr(context, n), '/status')[1]
         for n in ('entry-a', 'entry-b')
@@ -21,8 +21,8 @@
 
 def _states(context, name):
     return [{
-        r['name']: r['state'] for r in st['replicas']
-    }.get(name) for st in _entries(context)]
+        r['name']: r['state'] for r in status['replicas']
+    }.get(name) for status in _entry_statuses(context)]
 
 
 @when('the VM list shows "{name}" live at a new engine process')
@@ -35,22 +35,23 @@
             ],
                                                    stdout=out,
                                                    stderr=subprocess.STDOUT)
-        waiting.until(lambda: common.is_up(context.extra_addr), f'{name} up')
+        waiting.until(lambda: common.is_up(context.extra_addr),
+                      f'{name} to be up')
     launch.list_vm(common.standin_addr(context, 'vmlist'),
                    name=name,
                    addr=context.extra_addr,
                    zone='az1',
                    pool='llm')
     waiting.until(lambda: _states(context, name) == ['live'] * 2,
-                  f'{name} known at every entry')
+                  f'{name} to be live at every entry')
 
 
 def _tokens(addr):
     return common.http('GET', addr, '/stats')[1]['tokens_out']
 
 
-@then('"{name}" has answered some of them')
-def step_some(context, name):
+@then('"{name}" has served some of them')
+def step_served(context, name):
     del name
     assert _tokens(context.extra_addr) > 0
 
@@ -62,12 +63,12 @@
     assert status == 200, obj
     if name.startswith('engine'):
         waiting.until(lambda: _states(context, name) == ['down'] * 2,
-                      f'{name} gone at every entry')
+                      f'{name} to be down at every entry')
         context.before = _tokens(context.extra_addr)
 
 
 @when('the VM list shows a third entry "{name}"')
-def step_third(context, name):
+def step_third_entry(context, name):
     launch.list_vm(common.standin_addr(context, 'vmlist'),
                    name=name,
                    addr=context.third_addr,
@@ -78,12 +79,12 @@
 @then('every entry splits the limits by {n:d}')
 def step_split(context, n):
 
-    def split():
-        sts = _entries(context)
-        return [s['entries'] for s in sts
-               ] == [n, n] and {s['rank'] for s in sts} == {0, 1}
+    def is_split():
+        statuses = _entry_statuses(context)
+        return [s['entries'] for s in statuses
+               ] == [n, n] and {s['rank'] for s in statuses} == {0, 1}
 
-    waiting.until(split, f'limits split by {n}')
+    waiting.until(is_split, f'limits to be split by {n}')
 
 
 @when('the VM list has the fault {switch} for a while')
@@ -94,12 +95,12 @@
 
 
 @then('"{name}" is still leaving at every entry')
-def step_still(context, name):
+def step_still_leaving(context, name):
     assert _states(context, name) == ['leaving'] * 2, _states(context, name)
     common.set_faults(context, 'vmlist', **common.FAULTS_OFF)
 
 
-@then('a seat request sent to entry "{name}" is still answered whole')
+@then('a seat request sent to entry "{name}" still gets a complete response')
 def step_lame_duck(context, name):
     status, obj, _ = common.chat(context, 'kiosk', 'seat', name=name)
     assert status == 200, obj
--- a/features/steps/level_steps.py
+++ b/features/steps/level_steps.py
@@ -14,7 +14,7 @@
 from gorsefall.standins import waiting
 
 CUSTOMERS = (*own_steps.CUSTOMERS, 'partner-api', 'tour-desk')
-SLOWNESS = {'twentieth': 20}
+SLOW_FACTORS = {'twentieth': 20}
 FAULTS = {
     'is slow': {
         'slow': 20
@@ -27,20 +27,20 @@
     },
 }
 
-REFILL_S = 0.3
-"""Time in which an account may send three more notices at one entry, s."""
+QUOTA_REFILL_S = 0.3
+"""Time in which an account may send three more notices to one entry, s."""
 
 
-def _ask(context, klass, i, customer=None):
+def _send_chat(context, klass, i, customer=None):
     return common.chat(context,
                        customer or CUSTOMERS[i % len(CUSTOMERS)],
                        klass,
                        prompt=f'{klass} {i}')
 
 
-def _start(context, klass, n):
+def _start_requests(context, klass, n):
     pool = concurrent.futures.ThreadPoolExecutor(n)
-    futs = [pool.submit(_ask, context, klass, i) for i in range(n)]
+    futs = [pool.submit(_send_chat, context, klass, i) for i in range(n)]
     pool.shutdown(wait=False)
     return futs
 
@@ -53,7 +53,7 @@
     return own_steps.status(context)['queues'].get('llm', {})
 
 
-def _assert_whole(reply):
+def _assert_complete(reply):
     status, obj, _ = reply
     assert status == 200, obj
     words = obj['choices'][0]['message']['content'].split()
@@ -69,53 +69,52 @@
 
 
 @given('engines step at a {part} of their speed')
-def step_slowly(context, part):
-    # Symptom: "timed out waiting for notices to wait", once, beside other
-    # work. Sequence: ten notices and more wait for 0.3 s at a tenth of the
-    # speed; the step that looks for them is held up for as long. Cause: a
-    # state to be met that lasts hardly longer than a look at it. Likewise
-    # "it was promoted": callers in one busy process left the pool room, and
-    # the notice was answered before it counted as starved.
+def step_slow_engines(context, part):
+    # At a tenth of their speed, ten or more notices wait for only 0.3 s. On a
+    # loaded machine the step that polls for them can be delayed for as long and
+    # then times out waiting for notices to wait. "it was promoted" could fail
+    # likewise: callers in one busy process left free slots in the pool, and the
+    # notice was served before it counted as starved.
     for name in own_steps.ENGINES:
-        common.set_faults(context, name, slow=SLOWNESS[part])
+        common.set_faults(context, name, slow=SLOW_FACTORS[part])
 
 
 @given('the pool is full of driver notices and more wait')
-def step_full(context):
+def step_full_pool(context):
     waiting.until(lambda: own_steps.status(context)['silent_peers'] == 0,
-                  'the entries to know each other')
+                  'the entries to exchange messages')
     context.preempted = {p: _stats(context, f'preempted_{p}') for p in '1234'}
-    # Each of ten accounts may send 20 a second at two entries, so 10 at this
-    # one, and more only by a recent word of the other, which a busy machine
-    # makes late.
-    context.notices = _start(context, 'driver-notice', 100)
-    waiting.until(lambda: _admitted(context) >= 100, 'notices to be let in')
-    time.sleep(REFILL_S)
-    context.notices += _start(context, 'driver-notice', 10)
+    # Each of ten accounts may send 20 notices per second at two entries: 10 at
+    # this one, and more only after a recent message of the other entry, which
+    # is late on a loaded machine.
+    context.notices = _start_requests(context, 'driver-notice', 100)
+    waiting.until(lambda: _admitted(context) >= 100, 'notices to be admitted')
+    time.sleep(QUOTA_REFILL_S)
+    context.notices += _start_requests(context, 'driver-notice', 10)
     waiting.until(lambda: _queue(context).get('tier 4', 0) >= 10,
                   'notices to wait')
 
 
 @when('{n:d} seat requests arrive at entry-a')
 def step_seats(context, n):
-    context.seats = _start(context, 'seat', n)
+    context.seats = _start_requests(context, 'seat', n)
 
 
 @then('no seat request waits while notices do')
 def step_none_waits(context):
 
-    def urgent_first():
+    def is_urgent_first():
         queue = _queue(context)
         return own_steps.status(context)['running'] > 0 and \
             'tier 1' not in queue and queue.get('tier 4', 0) > 0
 
-    waiting.until(urgent_first, 'seat requests to go first')
+    waiting.until(is_urgent_first, 'seat requests to go first')
 
 
-@then('every seat request is answered whole')
-def step_seats_whole(context):
+@then('every seat request gets a complete response')
+def step_seats_complete(context):
     for fut in context.seats:
-        _assert_whole(fut.result(timeout=waiting.TIMEOUT_S))
+        _assert_complete(fut.result(timeout=waiting.TIMEOUT_S))
 
 
 @then('only requests of priority 4 were preempted')
@@ -126,10 +125,10 @@
     assert sum(now['4'].values()) > sum(context.preempted['4'].values())
 
 
-@then('every notice is answered whole in the end')
-def step_notices_whole(context):
+@then('every notice eventually gets a complete response')
+def step_notices_complete(context):
     for fut in context.notices:
-        _assert_whole(fut.result(timeout=60))
+        _assert_complete(fut.result(timeout=60))
 
 
 @given('seat requests keep the pool full')
@@ -137,13 +136,15 @@
     context.stop = threading.Event()
     counter = itertools.count()
 
-    def loop():
+    def keep_sending():
         while not context.stop.is_set():
-            if _ask(context, 'seat', next(counter))[0] != 200:
+            if _send_chat(context, 'seat', next(counter))[0] != 200:
                 context.stop.wait(0.05)
 
-    context.loops = [threading.Thread(target=loop) for _ in range(110)]
-    for t in context.loops:
+    context.senders = [
+        threading.Thread(target=keep_sending) for _ in range(110)
+    ]
+    for t in context.senders:
         t.start()
     waiting.until(lambda: _queue(context).get('tier 1', 0) > 0, 'a full pool')
 
@@ -159,17 +160,17 @@
 @when('a driver notice arrives at entry-a')
 def step_notice(context):
     context.before = _promoted(context)
-    context.reply = _ask(context, 'driver-notice', 0, 'dispatcher')
+    context.reply = _send_chat(context, 'driver-notice', 0, 'dispatcher')
 
 
-@then('the notice is answered whole while the seat requests go on')
-def step_notice_whole(context):
-    alive = all(t.is_alive() for t in context.loops)
+@then('the notice gets a complete response while seat requests continue')
+def step_notice_complete(context):
+    alive = all(t.is_alive() for t in context.senders)
     context.stop.set()
-    for t in context.loops:
+    for t in context.senders:
         t.join(timeout=waiting.TIMEOUT_S)
     assert alive
-    _assert_whole(context.reply)
+    _assert_complete(context.reply)
 
 
 @then('it was promoted')
@@ -180,27 +181,31 @@
 @when('"{many}" sends {n:d} seat requests at once and "{few}" sends {m:d}')
 def step_burst(context, many, n, few, m):
     with concurrent.futures.ThreadPoolExecutor(n + m) as pool:
-        first = [pool.submit(_ask, context, 'seat', i, many) for i in range(n)]
-        second = [pool.submit(_ask, context, 'seat', i, few) for i in range(m)]
-        context.many = [f.result() for f in first]
-        context.few = [f.result() for f in second]
+        first = [
+            pool.submit(_send_chat, context, 'seat', i, many) for i in range(n)
+        ]
+        second = [
+            pool.submit(_send_chat, context, 'seat', i, few) for i in range(m)
+        ]
+        context.many_replies = [f.result() for f in first]
+        context.few_replies = [f.result() for f in second]
 
 
-@then('some of "{who}" are refused as "{code}" with a time to come back')
+@then('some of "{who}" are refused as "{code}" with a retry time')
 def step_refused(context, who, code):
     del who
-    refused = [r for r in context.many if r[0] == 429]
-    assert refused and len(refused) < len(context.many)
+    refused = [r for r in context.many_replies if r[0] == 429]
+    assert refused and len(refused) < len(context.many_replies)
     for _, obj, headers in refused:
         assert obj['error']['code'] == code, obj
         assert int(headers['Retry-After']) >= 1
 
 
 @then('all of "{who}" are answered')
-def step_few(context, who):
+def step_all_served(context, who):
     del who
-    for reply in context.few:
-        _assert_whole(reply)
+    for reply in context.few_replies:
+        _assert_complete(reply)
 
 
 @given('the replica {name} {what}')
@@ -212,7 +217,7 @@
 def step_in_turn(context, n):
     context.answers = _stats(context, 'answers')
     for i in range(n):
-        _assert_whole(_ask(context, 'seat', i))
+        _assert_complete(_send_chat(context, 'seat', i))
 
 
 @then('{name} answered at most {most:d} of them')
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -37,16 +37,16 @@
                                  })
     assert status == 200, obj
 
-    def seen():
+    def is_leaving():
         for e in ('entry-a', 'entry-b'):
             st = common.http('GET', common.entry_addr(context, e), '/status')[1]
-            reps = {r['name']: r['state'] for r in st['replicas']}
-            if reps[name] != 'leaving':
+            states = {r['name']: r['state'] for r in st['replicas']}
+            if states[name] != 'leaving':
                 return False
         return True
 
     t0 = time.monotonic()
-    waiting.until(seen, f'{name} leaving on every entry')
+    waiting.until(is_leaving, f'{name} to be leaving on every entry')
     context.drain_s = time.monotonic() - t0
     context.before = _engine_tokens(context, name)
 
@@ -63,14 +63,15 @@
 
 
 @then('"{name}" received none of them')
-def step_none(context, name):
+def step_none_received(context, name):
     assert _engine_tokens(context, name) == context.before
 
 
-@given('{n:d} long streamed answers are in flight on entry "{name}"')
+@given('{n:d} long streamed responses are in flight on entry "{name}"')
 def step_inflight(context, n, name):
-    # Engines emit a token every 20 steps (60 ms): the shortest answer (8
-    # tokens) outlasts the signal, the longest (120) ends within drain_s.
+    # Engines emit a token every 20 steps (60 ms): the shortest response (8
+    # tokens) lasts longer than the signal takes, the longest (120) ends within
+    # drain_s.
     for i in range(1, 6):
         common.set_faults(context, f'engine-{i}', slow=20)
     context.results = [None] * n
@@ -93,7 +94,7 @@
     started.wait()
     waiting.until(
         lambda: common.http('GET', common.entry_addr(context, name), '/status')[
-            1]['running'] >= n, 'answers in flight')
+            1]['running'] >= n, 'responses to be in flight')
 
 
 @when('entry "{name}" gets SIGTERM')
@@ -108,8 +109,8 @@
     assert status == 503 and obj['ready'] is False, (status, obj)
 
 
-@then('every answer in flight ends whole')
-def step_all_whole(context):
+@then('every response in flight completes')
+def step_all_complete(context):
     for t in context.threads:
         t.join(timeout=waiting.TIMEOUT_S)
     for status, text, _ in context.results:
--- a/features/steps/once_steps.py
+++ b/features/steps/once_steps.py
@@ -16,7 +16,7 @@
 CUSTOMER = 'kiosk'
 
 
-def _code(reply):
+def _outcome(reply):
     status, obj, headers = reply
     if status == 200:
         return 'replayed' if headers.get('X-Replayed') else '200'
@@ -43,17 +43,18 @@
 
 @then('each of those keys ran exactly once')
 def step_once_each(context):
-    ran = own_steps.runs(context)
+    runs_by_key = own_steps.runs(context)
     for key in context.keys:
-        total = sum(n for k, n in ran.items() if k.endswith(f'/{key}'))
+        total = sum(n for k, n in runs_by_key.items() if k.endswith(f'/{key}'))
         assert total == 1, (key, total)
 
 
 @then('no reply says that a key was not run')
 def step_none_not_run(context):
-    codes = {_code(r) for r in context.replies}
+    codes = {_outcome(r) for r in context.replies}
     assert codes <= {'200', 'replayed', 'in_progress'}, codes
-    assert sum(_code(r) == '200' for r in context.replies) == len(context.keys)
+    assert sum(_outcome(r) == '200' for r in context.replies) == len(
+        context.keys)
 
 
 @given('{place} is slow by {ms:d} ms')
@@ -64,8 +65,8 @@
         common.set_faults(context, name, delay_ms=float(ms))
 
 
-def _claimed(context, key):
-    """Whether the log service's newest ledger record claims ``key``."""
+def _is_claimed(context, key):
+    """Returns True if the newest ledger record in the log claims ``key``."""
     _, obj, _ = common.http('GET', common.standin_addr(context, 'log'),
                             '/stats')
     newest = obj['newest'].get('ledger', {})
@@ -80,19 +81,19 @@
         return exc
 
 
-@when('a charge with key "{key}" is under way at {name}')
-def step_under_way(context, key, name):
+@when('a charge with key "{key}" is in flight at {name}')
+def step_in_flight(context, key, name):
     context.thread = threading.Thread(target=_try_charge,
                                       args=(context, key, name))
     context.thread.start()
 
-    def under_way():
+    def is_in_flight():
         if context.slowed == ('log',):
-            # The claim has taken effect; only its reply is still to come.
-            return _claimed(context, key)
+            # The claim is written; only its reply is pending.
+            return _is_claimed(context, key)
         return _runs(context, key) == 1
 
-    waiting.until(under_way, 'the charge to be claimed or running')
+    waiting.until(is_in_flight, 'the charge to be claimed or running')
 
 
 @when('entry "{name}" is frozen')
@@ -106,23 +107,23 @@
     context.procs[name].wait(timeout=20)
 
 
-@when('the charge with key "{key}" is tried again at {name}')
-def step_again(context, key, name):
+@when('the charge with key "{key}" is retried at {name}')
+def step_retry(context, key, name):
     context.retry = own_steps.charge(context, CUSTOMER, key, name)
 
 
-@then('the retry was answered one of {codes}')
+@then('the retry got one of the outcomes {codes}')
 def step_codes(context, codes):
-    assert _code(context.retry) in codes.split(', '), context.retry[:2]
+    assert _outcome(context.retry) in codes.split(', '), context.retry[:2]
 
 
 @then('after entry "{name}" is back, key "{key}" ran {runs}')
-def step_back(context, name, key, runs):
+def step_entry_back(context, name, key, runs):
     common.restore_site(context)
     context.thread.join(timeout=waiting.TIMEOUT_S)
     if runs == 'exactly once':
         waiting.until(lambda: _runs(context, key) >= 1, f'{key} to run')
-    time.sleep(0.5)  # Time in which a second run would show.
+    time.sleep(0.5)  # A second run would start within this time.
     assert _runs(context, key) <= 1, own_steps.runs(context)
     common.wait_version(context, 1)
 
@@ -140,16 +141,16 @@
     ]
 
 
-@then('each was answered 200 and ran exactly once')
+@then('each got status 200 and ran exactly once')
 def step_no_key_ran(context):
-    ran = own_steps.runs(context)
+    runs_by_key = own_steps.runs(context)
     for status, obj, _ in context.replies:
         assert status == 200, obj
-        assert ran[obj['id']] == 1
+        assert runs_by_key[obj['id']] == 1
 
 
 @when('"{customer}" charges something else with key "{key}" at {name}')
-def step_other(context, customer, key, name):
+def step_reuse_key(context, customer, key, name):
     context.reply = common.http('POST',
                                 common.entry_addr(context, name),
                                 '/v1/services/booking/charge',
--- a/features/steps/own_steps.py
+++ b/features/steps/own_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the own-answer feature."""
+"""Steps of the feature on each caller's own response."""
 
 import concurrent.futures
 import http.client
@@ -32,28 +32,28 @@
 
 
 def runs(context):
-    total = {}
+    counts = {}
     for rep in BOOKING:
         _, obj, _ = common.http('GET', common.standin_addr(context, rep),
                                 '/stats')
         for key, n in obj['runs'].items():
-            total[key] = total.get(key, 0) + n
-    return total
+            counts[key] = counts.get(key, 0) + n
+    return counts
 
 
-@given('the booking replica "{name}" cuts its next {n:d} replies half way')
-def step_cut_one(context, name, n):
+@given('the booking replica "{name}" truncates its next {n:d} replies')
+def step_truncate_one(context, name, n):
     common.set_faults(context, name, cut_reply=n)
 
 
-@given('every booking replica cuts its next {n:d} replies half way')
-def step_cut_all(context, n):
+@given('every booking replica truncates its next {n:d} replies')
+def step_truncate_all(context, n):
     for name in BOOKING:
         common.set_faults(context, name, cut_reply=n)
 
 
-@then('the booking replicas answer whole again')
-def step_uncut(context):
+@then('the booking replicas send complete replies again')
+def step_send_complete(context):
     for name in BOOKING:
         common.set_faults(context, name, cut_reply=0)
 
@@ -71,8 +71,8 @@
     ]
 
 
-@then('every seat query got its own whole answer')
-def step_whole(context):
+@then('every seat query got its own complete response')
+def step_complete(context):
     for i, (status, obj, _) in enumerate(context.replies):
         assert status == 200 and obj['args'] == {'n': i}, (status, obj)
 
@@ -102,12 +102,12 @@
         context.replies = [f.result() for f in futs]
 
 
-@then('each of the {n:d} keys ran exactly once and was answered 200')
+@then('each of the {n:d} keys ran exactly once and got status 200')
 def step_each_once(context, n):
-    bad = [r[:2] for r in context.replies if r[0] != 200]
-    assert not bad, bad
-    ran = runs(context)
-    keys = {k: v for k, v in ran.items() if 'many-' in k}
+    failed = [r[:2] for r in context.replies if r[0] != 200]
+    assert not failed, failed
+    run_counts = runs(context)
+    keys = {k: v for k, v in run_counts.items() if 'many-' in k}
     assert len(keys) == n and set(keys.values()) == {1}, keys
 
 
@@ -119,7 +119,7 @@
 
 @then('engines step normally')
 def step_normal(context):
-    for conn in getattr(context, 'held', []):
+    for conn in getattr(context, 'open_conns', []):
         conn.close()
     for name in ENGINES:
         common.set_faults(context, name, slow=1)
@@ -145,7 +145,7 @@
     return conn
 
 
-def _leave_after_first(context, i):
+def _disconnect_after_first(context, i):
     conn = _open_stream(context, i)
     res = conn.getresponse()
     assert res.status == 200, res.read()
@@ -155,10 +155,10 @@
     conn.close()
 
 
-@when('{n:d} callers leave entry-a after their first token')
-def step_leave(context, n):
+@when('{n:d} callers disconnect from entry-a after their first token')
+def step_disconnect(context, n):
     threads = [
-        threading.Thread(target=_leave_after_first, args=(context, i))
+        threading.Thread(target=_disconnect_after_first, args=(context, i))
         for i in range(n)
     ]
     for t in threads:
@@ -174,16 +174,16 @@
 
 @then('no replica has requests in flight from entry-a')
 def step_no_inflight(context):
-    waiting.until(lambda: status(context)['running'] == 0, 'jobs ended')
-    flying = {
+    waiting.until(lambda: status(context)['running'] == 0, 'requests to end')
+    in_flight = {
         r['name']: r['inflight']
         for r in status(context)['replicas']
         if r['inflight']
     }
-    assert not flying, flying
+    assert not in_flight, in_flight
 
 
-@then('the tokens of the abandoned answers count as wasted')
+@then('the tokens of the abandoned responses count as wasted')
 def step_wasted(context):
     text = common.http('GET', common.entry_addr(context), '/metrics')[1]
     wasted = sum(
@@ -193,20 +193,20 @@
     assert wasted >= 8, wasted
 
 
-@given('every place of the pool is taken')
+@given('every slot of the pool is taken')
 def step_fill(context):
     slots = context.cfg['entry-a'].entry.slots_per_replica * len(ENGINES)
-    context.held = []
+    context.open_conns = []
 
     def fill():
         st = status(context)
         if sum(st['queues'].get('llm', {}).values()) >= 20:
             return True
-        n = len(context.held)
-        context.held += [_open_stream(context, n + i) for i in range(4)]
+        n = len(context.open_conns)
+        context.open_conns += [_open_stream(context, n + i) for i in range(4)]
         return False
 
-    waiting.until(fill, f'{slots} places taken')
+    waiting.until(fill, f'{slots} slots to be taken')
 
 
 @when('a request with a deadline of {ms:d} ms arrives at entry-a')
@@ -224,12 +224,12 @@
     return '\r\n'.join(lines).encode() + b'\r\n\r\n' + body
 
 
-def _read_until_quiet(sock, quiet_s=0.4):
-    sock.settimeout(quiet_s)
+def _read_until_idle(sock, idle_s=0.4):
+    sock.settimeout(idle_s)
     data = b''
     try:
-        while more := sock.recv(65536):
-            data += more
+        while chunk := sock.recv(65536):
+            data += chunk
     except TimeoutError:
         pass
     return data
@@ -242,14 +242,14 @@
     host, _, port = common.entry_addr(context).partition(':')
     with socket.create_connection((host, int(port)), timeout=5) as sock:
         sock.sendall(_raw_request('POST', path, raw, hdrs))
-        context.first = _read_until_quiet(sock)
+        context.first = _read_until_idle(sock)
         sock.sendall(_raw_request('GET', '/healthz', b'', {}))
-        context.second = _read_until_quiet(sock)
+        context.second = _read_until_idle(sock)
 
 
 @then('the connection carried exactly the refusal {code:d} and the health '
-      'answer')
-def step_exactly(context, code):
+      'reply')
+def step_one_reply_each(context, code):
     assert context.first.count(b'HTTP/1.1 ') == 1, context.first
     assert context.first.startswith(f'HTTP/1.1 {code}'.encode())
     assert context.second.count(b'HTTP/1.1 ') == 1, context.second
@@ -264,8 +264,8 @@
                                 prompt=' '.join(f'p{i}' for i in range(n)))
 
 
-@then('the reply has status {code:d} and a whole text')
-def step_whole_text(context, code):
+@then('the reply has status {code:d} and a complete text')
+def step_complete_text(context, code):
     got, obj, _ = context.reply
     assert got == code, (got, obj)
     words = obj['choices'][0]['message']['content'].split()
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -8,7 +8,7 @@
 from behave import then
 from behave import when
 
-GOOD = """[entry]
+VALID_SETTINGS = """[entry]
 name = "e"
 zone = "az1"
 listen = "127.0.0.1:19199"
@@ -28,20 +28,19 @@
     path = pathlib.Path(context.tmp) / 'entry.toml'
     kind = 'engine'
     if change.startswith('listen'):
-        text = GOOD.format(extra='',
-                           kind=kind).replace('listen = "127.0.0.1:19199"',
-                                              change)
+        text = VALID_SETTINGS.format(extra='', kind=kind).replace(
+            'listen = "127.0.0.1:19199"', change)
     elif change.startswith('backend kind'):
-        text = GOOD.format(extra='', kind='robot')
+        text = VALID_SETTINGS.format(extra='', kind='robot')
     elif change.startswith('an unknown key'):
-        text = GOOD.format(extra='colour = "red"', kind=kind)
+        text = VALID_SETTINGS.format(extra='colour = "red"', kind=kind)
     elif change == 'broken TOML':
         text = '[entry\nname = '
     elif change == 'no file at all':
         path = path.with_name('missing.toml')
         text = None
     else:
-        text = GOOD.format(extra=change, kind=kind)
+        text = VALID_SETTINGS.format(extra=change, kind=kind)
     if text is not None:
         path.write_text(text)
     context.path = path
