--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -15,20 +15,20 @@
 
 
 def _engine_tokens(context, name):
-    addr = context.extra_addr if name == 'engine-6' else common.standin(
+    addr = context.extra_addr if name == 'engine-6' else common.standin_addr(
         context, name)
     return common.http('GET', addr, '/stats')[1]['tokens_out']
 
 
 @given('the VM list lags by {lag:g} s')
 def step_lag(context, lag):
-    common.fault(context, 'vmlist', lag_s=lag)
+    common.set_faults(context, 'vmlist', lag_s=lag)
     context.lag = lag
 
 
 @step('the VM list shows "{name}" leaving and the entries have polled it')
 def step_leaving(context, name):
-    status, obj, _ = common.http('POST', common.standin(context, 'vmlist'),
+    status, obj, _ = common.http('POST', common.standin_addr(context, 'vmlist'),
                                  '/vms', {
                                      'name': name,
                                      'addr': '',
@@ -37,16 +37,16 @@
                                  })
     assert status == 200, obj
 
-    def seen():
+    def is_leaving():
         for e in ('entry-a', 'entry-b'):
-            st = common.http('GET', common.entry(context, e), '/status')[1]
-            reps = {r['name']: r['state'] for r in st['replicas']}
-            if reps[name] != 'leaving':
+            st = common.http('GET', common.entry_addr(context, e), '/status')[1]
+            states = {r['name']: r['state'] for r in st['replicas']}
+            if states[name] != 'leaving':
                 return False
         return True
 
     t0 = time.monotonic()
-    waiting.until(seen, f'{name} leaving on every entry')
+    waiting.until(is_leaving, f'{name} to be leaving on every entry')
     context.drain_s = time.monotonic() - t0
     context.before = _engine_tokens(context, name)
 
@@ -63,16 +63,17 @@
 
 
 @then('"{name}" received none of them')
-def step_none(context, name):
+def step_none_received(context, name):
     assert _engine_tokens(context, name) == context.before
 
 
-@given('{n:d} long streamed answers are in flight on entry "{name}"')
+@given('{n:d} long streamed responses are in flight on entry "{name}"')
 def step_inflight(context, n, name):
-    # Engines emit a token every 20 steps (60 ms): the shortest answer (8
-    # tokens) outlasts the signal, the longest (120) ends within drain_s.
+    # Engines emit a token every 20 steps (60 ms): the shortest response (8
+    # tokens) lasts longer than the signal takes, the longest (120) ends within
+    # drain_s.
     for i in range(1, 6):
-        common.fault(context, f'engine-{i}', slow=20)
+        common.set_faults(context, f'engine-{i}', slow=20)
     context.results = [None] * n
     started = threading.Barrier(n + 1)
 
@@ -92,8 +93,8 @@
         t.start()
     started.wait()
     waiting.until(
-        lambda: common.http('GET', common.entry(context, name), '/status')[1][
-            'running'] >= n, 'answers in flight')
+        lambda: common.http('GET', common.entry_addr(context, name), '/status')[
+            1]['running'] >= n, 'responses to be in flight')
 
 
 @when('entry "{name}" gets SIGTERM')
@@ -103,12 +104,13 @@
 
 @then('entry "{name}" reports not ready at once')
 def step_not_ready(context, name):
-    status, obj, _ = common.http('GET', common.entry(context, name), '/readyz')
+    status, obj, _ = common.http('GET', common.entry_addr(context, name),
+                                 '/readyz')
     assert status == 503 and obj['ready'] is False, (status, obj)
 
 
-@then('every answer in flight ends whole')
-def step_all_whole(context):
+@then('every response in flight completes')
+def step_all_complete(context):
     for t in context.threads:
         t.join(timeout=waiting.TIMEOUT_S)
     for status, text, _ in context.results:
@@ -125,4 +127,4 @@
 def step_exits(context, name):
     assert context.procs[name].wait(timeout=waiting.TIMEOUT_S) == 0
     for i in range(1, 6):
-        common.fault(context, f'engine-{i}', slow=1)
+        common.set_faults(context, f'engine-{i}', slow=1)
