--- a/gorsefall/relay/node.py
+++ b/gorsefall/relay/node.py
@@ -234,7 +234,7 @@
         """Records the ``model.Load`` that a replica sent with a response."""
         replicas = self.fleet.of_service(replica.record.service)
         self.share.record_sample(own=sum(r.view.outstanding for r in replicas),
-                                 there=load.running + load.waiting,
+                                 at_replica=load.running + load.waiting,
                                  replicas=len(replicas))
         if self.work.peer_view.members.alone:
             replica.view.record_load(load.running, load.waiting, self.loop.now)
